--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -7,8 +7,8 @@
 	"clovergap/internal/invariant"
 )
 
-// queueService marks a service for the next updateAccess. It does nothing if the service is already marked.
-func (n *Node) queueService(svc *service) {
+// queueAccessUpdate marks a service for the next updateAccess. It does nothing if the service is already marked.
+func (n *Node) queueAccessUpdate(svc *service) {
 	if !svc.changed {
 		svc.changed = true
 		n.changed = append(n.changed, svc)
@@ -19,26 +19,26 @@
 func (n *Node) updateAccess() {
 	for _, svc := range n.changed {
 		svc.changed = false
-		n.updatePatient(svc)
-		n.updateStrict(svc)
+		n.updatePatientAccess(svc)
+		n.updateStrictAccess(svc)
 	}
 	n.changed = n.changed[:0]
 }
 
-// accessOf returns the access that a key's ejection allows. It is Open if the key has no ejection or if outlier detection is disabled.
-func (n *Node) accessOf(k Key) Access {
+// ejectionAccess returns the access that a key's ejection allows. It is Open if the key has no ejection or if outlier detection is disabled.
+func (n *Node) ejectionAccess(k Key) Access {
 	if ejection := n.state.Ejection(k); ejection != nil && n.state.Enabled() {
 		return ejection.access()
 	}
 	return Open
 }
 
-// updatePatient sets to which of a service's backends this node may send patient requests. If fewer backends than Settings.minInService requires
+// updatePatientAccess sets to which of a service's backends this node may send patient requests. If fewer backends than Settings.requiredInService requires
 // would be open, it also opens the least unhealthy ejected backends until the required number is open.
-func (n *Node) updatePatient(svc *service) {
+func (n *Node) updatePatientAccess(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
-		if k := instance.keys[Patient].key; n.accessOf(k) != Open {
+		if k := instance.keys[Patient].key; n.ejectionAccess(k) != Open {
 			ejected = append(ejected, n.state.Ejection(k))
 		}
 	}
@@ -51,7 +51,7 @@
 		}
 		return a.compare(b.Key)
 	})
-	shortfall := max(0, n.state.Settings().minInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
+	shortfall := max(0, n.state.Settings().requiredInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
 	invariant.Assert(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
@@ -61,20 +61,20 @@
 		if state := &instance.keys[Patient]; kept[instance.ID] {
 			n.setAccess(state, Open, false)
 		} else {
-			n.setAccess(state, n.accessOf(state.key), false)
+			n.setAccess(state, n.ejectionAccess(state.key), false)
 		}
 	}
 }
 
-// updateStrict sets to which of a service's backends this node may send strict requests. It keeps no minimum number of backends open, because
+// updateStrictAccess sets to which of a service's backends this node may send strict requests. It keeps no minimum number of backends open, because
 // rejecting a write is better than losing the write. While no backend of the service is available, it pushes a NoneAvailable action every
 // noneAvailableInterval.
-func (n *Node) updateStrict(svc *service) {
+func (n *Node) updateStrictAccess(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
 		state := &instance.keys[Strict]
-		access := n.accessOf(state.key)
-		local := access != Closed && n.state.Enabled() && state.locallyEjected(n.now)
+		access := n.ejectionAccess(state.key)
+		local := access != Closed && n.state.Enabled() && state.isLocallyEjected(n.now)
 		if local {
 			access = Closed
 		}
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -75,7 +75,7 @@
 func (c *Coordinator) ApplyState(s *State, e *Entry) {
 	c.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
-		c.recoveries[e.Key] = &recovery{revision: s.revision(e.Key), since: c.now, proposedAt: -retryInterval}
+		c.recoveries[e.Key] = &recovery{revision: s.ejectionRevision(e.Key), since: c.now, proposedAt: -retryInterval}
 		return
 	}
 	for i := range s.Ejections() {
@@ -105,7 +105,7 @@
 func (c *Coordinator) HandleReport(from Slot, r Report) {
 	for _, o := range r.Observations {
 		b, known := c.backends[o.ID]
-		if !known || b.Phase != Ready || !o.valid() || !c.state.Enabled() {
+		if !known || b.Phase != Ready || !o.isValid() || !c.state.Enabled() {
 			continue
 		}
 		evidence := c.evidence[o.Key]
@@ -145,9 +145,9 @@
 		c.requestKeys = c.requestKeys[n:]
 	}
 	for i := range c.state.Ejections() {
-		c.advanceRecovery(&c.state.Ejections()[i])
+		c.proposeRecoveryStep(&c.state.Ejections()[i])
 	}
-	c.forgetGone()
+	c.proposeForgetGone()
 }
 
 // hasFreshEvidence reports whether any observation of a key is at most evidenceTTL old.
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -14,9 +14,9 @@
 // ErrTextTooLong is returned for an entry that has a text field of more than maxTextBytes.
 var ErrTextTooLong = errors.Errorf("text field of the entry is longer than %d bytes", maxTextBytes)
 
-// conflict returns routing.Conflict and a field error. It is the result for an entry that was built on a different state than the current
+// conflictResult returns routing.Conflict and a field error. It is the result for an entry that was built on a different state than the current
 // one.
-func conflict(field, format string, args ...any) (routing.Result, error) {
+func conflictResult(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
@@ -32,7 +32,7 @@
 		}
 	}
 	ejection := s.Ejection(e.Key)
-	rev := s.revision(e.Key)
+	rev := s.ejectionRevision(e.Key)
 	if e.Verb == SetSettings {
 		rev = s.SettingsRevision
 	}
@@ -41,14 +41,14 @@
 	case byCoordinator != (e.FencingToken > 0):
 		return routing.Invalid, logentry.FieldErrorf("fence", "token %d does not fit the verb %s, because only the coordinator's entries carry one", e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
-		return conflict("fence", "token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
+		return conflictResult("fence", "token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
 			return routing.Invalid, logentry.FieldErrorf("gone", "lists no instance or too many instances")
 		}
 		return routing.Accepted, nil
 	case e.Revision != rev:
-		return conflict("rev", "revision %d is not the current revision %d", e.Revision, rev)
+		return conflictResult("rev", "revision %d is not the current revision %d", e.Revision, rev)
 	case e.Verb == SetSettings:
 		if e.Settings == nil {
 			return routing.Invalid, logentry.FieldErrorf("settings", "is missing")
@@ -61,14 +61,14 @@
 	case e.Verb == Eject:
 		return s.decideEject(e, ejection)
 	case ejection == nil:
-		return conflict("key", "instance %s has no ejection in mode %s", e.Key.ID, e.Key.Mode)
+		return conflictResult("key", "instance %s has no ejection in mode %s", e.Key.ID, e.Key.Mode)
 	case e.Verb == Clear:
 		return routing.Accepted, nil
 	case e.Verb == StepUp && ejection.Step != InService && ejection.Step.next(ejection.Mode) != InService,
 		e.Verb == Readmit && ejection.Step != InService && ejection.Step.next(ejection.Mode) == InService:
 		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflict("verb", "%s is not possible in step %s", e.Verb, ejection.Step)
+		return conflictResult("verb", "%s is not possible in step %s", e.Verb, ejection.Step)
 	}
 	return routing.Invalid, logentry.FieldErrorf("verb", "unknown verb %q", e.Verb)
 }
@@ -81,14 +81,14 @@
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
 		return routing.Invalid, logentry.FieldErrorf("witnesses", "lists no node or too many nodes")
 	case !s.Enabled():
-		return conflict("settings", "outlier detection is disabled")
+		return conflictResult("settings", "outlier detection is disabled")
 	case ejection != nil && ejection.Step == Ejected:
-		return conflict("key", "instance %s is already ejected in mode %s", e.Key.ID, e.Key.Mode)
-	case ejection == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInService() < 0:
-		return conflict("key", "all %d stored ejections are still in force", maxEjections)
+		return conflictResult("key", "instance %s is already ejected in mode %s", e.Key.ID, e.Key.Mode)
+	case ejection == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInServiceIndex() < 0:
+		return conflictResult("key", "all %d stored ejections are still in force", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
-		return conflict("witnesses", "fewer than two trusted witnesses, and each sole witness is at its limit of ejections")
+		return conflictResult("witnesses", "fewer than two trusted witnesses, and each sole witness is at its limit of ejections")
 	}
 	return routing.Accepted, nil
 }
@@ -99,7 +99,7 @@
 func (s *State) soleWitness(e *Entry) (sole Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
-		weight += math.Pow(0.5, float64(s.refutations(w)))
+		weight += math.Pow(0.5, float64(s.refutationCount(w)))
 	}
 	if weight >= 2 {
 		return membership.NoSlot, true
@@ -114,15 +114,15 @@
 				}
 			}
 		}
-		if serviceLimit, totalLimit := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutations(w)); ofService < serviceLimit && ofAll < totalLimit {
+		if serviceLimit, totalLimit := s.snapshot.Settings.soleWitnessLimits(e.ReadyBackends, s.refutationCount(w)); ofService < serviceLimit && ofAll < totalLimit {
 			return w, true
 		}
 	}
 	return membership.NoSlot, false
 }
 
-// refutations returns the number of refutations that still count against a witness. It halves every refutationHalvingPeriod revisions.
-func (s *State) refutations(w Slot) int {
+// refutationCount returns the number of refutations that still count against a witness. It halves every refutationHalvingPeriod revisions.
+func (s *State) refutationCount(w Slot) int {
 	for _, t := range s.snapshot.Trust {
 		if t.Witness == w {
 			return t.Refuted >> min((s.Revision-t.Rev)/refutationHalvingPeriod, 62)
@@ -131,9 +131,9 @@
 	return 0
 }
 
-// oldestInService returns the index of the ejection to drop when too many are stored. It is the oldest ejection whose backend is back in
+// oldestInServiceIndex returns the index of the ejection to drop when too many are stored. It is the oldest ejection whose backend is back in
 // service, or -1 if there is none.
-func (s *State) oldestInService() int {
+func (s *State) oldestInServiceIndex() int {
 	oldest := -1
 	for i := range s.snapshot.Ejections {
 		if ejection := &s.snapshot.Ejections[i]; ejection.Step == InService && (oldest < 0 || ejection.Rev < s.snapshot.Ejections[oldest].Rev) {
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -83,7 +83,7 @@
 
 // assess combines the reports on a key. ejection is nil if the key was never ejected.
 func (c *Coordinator) assess(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
-	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.revision(key),
+	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.ejectionRevision(key),
 		recovering: ejection != nil && ejection.Step != InService, excludedWitness: membership.NoSlot}
 	if a.recovering {
 		a.excludedWitness = ejection.SoleWitness
@@ -103,7 +103,7 @@
 		if conclusive {
 			a.conclusive, a.selfDoubt = append(a.conclusive, from), a.selfDoubt || o.selfDoubt
 		}
-		if c.isFresh(o) {
+		if c.isCurrent(o) {
 			if a.total.add(o.Window); o.Window.Failing > a.worst.Failing {
 				a.worst = o.Window
 			}
@@ -115,8 +115,10 @@
 	return a
 }
 
-// isFresh reports whether an observation is recent enough for its window to be considered current.
-func (c *Coordinator) isFresh(o *receivedObservation) bool { return c.now-o.receivedAt <= freshWindow }
+// isCurrent reports whether an observation is recent enough for its window to be considered current.
+func (c *Coordinator) isCurrent(o *receivedObservation) bool {
+	return c.now-o.receivedAt <= freshWindow
+}
 
 // witnesses returns the nodes that have reported on a key, in ascending order.
 func (k *keyEvidence) witnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
@@ -128,9 +130,9 @@
 		return
 	}
 	a := c.assess(key, evidence, ejection)
-	losses, settled := c.confirmedLosses(a)
+	losses, settled := c.lossWitnesses(a)
 	enoughWitnesses := len(losses)+len(a.conclusive) > 1 || a.recovering
-	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.requestAnswered(key, evidence) && c.seenInZone(a, losses)
+	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.enoughNodesAnswered(key, evidence) && c.hasWitnessInZone(a, losses)
 	if c.ejectOnConclusiveEvidence(a, losses, lossesUsable) {
 		return
 	}
@@ -141,11 +143,11 @@
 	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
 		return
 	}
-	others := a.total.sub(a.worst)
-	if others.Failing < minFailuresToRequest || others.failureRate() < doubtRate[key.Mode] || !c.requestAnswered(key, evidence) {
+	others := a.total.minus(a.worst)
+	if others.Failing < minFailuresToRequest || others.failureRate() < suspectFailureRate[key.Mode] || !c.enoughNodesAnswered(key, evidence) {
 		return
 	}
-	if witnesses, exceeds := c.exceedsRate(a); exceeds {
+	if witnesses, exceeds := c.checkFailureRate(a); exceeds {
 		sufficient = 0
 		if c.nodeCount == 1 {
 			sufficient = 1
@@ -172,9 +174,9 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// requestAnswered reports whether enough nodes have answered a report request on a key. If there is no current request, it queues one. While
+// enoughNodesAnswered reports whether enough nodes have answered a report request on a key. If there is no current request, it queues one. While
 // answers are missing, it marks the key for another evaluation.
-func (c *Coordinator) requestAnswered(key Key, evidence *keyEvidence) bool {
+func (c *Coordinator) enoughNodesAnswered(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
 		if o.receivedAt >= evidence.requestedAt {
@@ -193,15 +195,15 @@
 	return false
 }
 
-// seenInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of that zone has recently observed an
+// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of that zone has recently observed an
 // answer or a failure of the backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
-func (c *Coordinator) seenInZone(a *assessment, witnesses []Slot) bool {
+func (c *Coordinator) hasWitnessInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
 		if o.zone == a.backend.Zone && slices.Contains(witnesses, from) {
 			return true
 		}
-		zoneHasTraffic = zoneHasTraffic || o.zone == a.backend.Zone && o.Rev == a.revision && c.isFresh(o) && o.Window.total() > 0
+		zoneHasTraffic = zoneHasTraffic || o.zone == a.backend.Zone && o.Rev == a.revision && c.isCurrent(o) && o.Window.attemptCount() > 0
 	}
 	return !zoneHasTraffic
 }
@@ -226,12 +228,12 @@
 	isFast := func(w Window) bool {
 		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/confirmingLatencyDivisor
 	}
-	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.sub(largest)))
+	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.minus(largest)))
 }
 
-// confirmedLosses returns the nodes whose partial evidence is confirmed by the observations on the backend. A connection reset needs no
+// lossWitnesses returns the nodes whose partial evidence is confirmed by the observations on the backend. A connection reset needs no
 // confirmation. settled is false while a report request for the confirmation is not yet answered.
-func (c *Coordinator) confirmedLosses(a *assessment) (witnesses []Slot, settled bool) {
+func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, settled bool) {
 	settled = true
 	losses := a.evidence.losses
 	for _, from := range a.evidence.witnesses() {
@@ -245,7 +247,7 @@
 			if evidenceWeights[item.Kind][a.key.Mode] != Partial || known || c.now-at > lossConfirmTimeout {
 				continue
 			}
-			if item.Kind == LostAnswer && !c.requestAnswered(a.key, a.evidence) {
+			if item.Kind == LostAnswer && !c.enoughNodesAnswered(a.key, a.evidence) {
 				settled = false
 			} else if item.Kind == ConnectionReset || a.evidence.confirmsLoss(a.revision, item, at, c.nodeCount) {
 				losses[from] = confirmedLoss{a.revision, at}
@@ -263,7 +265,7 @@
 func (c *Coordinator) otherBackendWindows(a *assessment) map[Slot]Window {
 	byNode := map[Slot]Window{}
 	for from, o := range a.evidence.byWitness {
-		if c.isFresh(o) {
+		if c.isCurrent(o) {
 			byNode[from] = o.ServiceWindow
 		}
 	}
@@ -273,16 +275,16 @@
 		}
 		var total Window
 		for _, o := range evidence.byWitness {
-			if c.isFresh(o) {
+			if c.isCurrent(o) {
 				total.add(o.Window)
 			}
 		}
-		if key != a.key && (total.Failing < minFailuresToRequest || total.failureRate() < doubtRate[key.Mode]) {
+		if key != a.key && (total.Failing < minFailuresToRequest || total.failureRate() < suspectFailureRate[key.Mode]) {
 			continue
 		}
 		for from, o := range evidence.byWitness {
-			if c.isFresh(o) {
-				byNode[from] = byNode[from].sub(o.Window)
+			if c.isCurrent(o) {
+				byNode[from] = byNode[from].minus(o.Window)
 			}
 		}
 	}
@@ -295,13 +297,13 @@
 	if mode == Strict {
 		limit = strictRateMargin + strictRateFactor*others.failureRate()
 	}
-	return others.total() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
+	return others.attemptCount() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
 }
 
-// exceedsRate reports whether a backend's failure rate is too high in comparison with that of the service's other backends. The rate must
+// checkFailureRate reports whether a backend's failure rate is too high in comparison with that of the service's other backends. The rate must
 // remain too high when the observations of any one node are left out. witnesses are the nodes that observed failures. The node with the most
 // failures comes first.
-func (c *Coordinator) exceedsRate(a *assessment) (witnesses []Slot, exceeds bool) {
+func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, exceeds bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
 	for _, w := range byNode {
@@ -311,17 +313,17 @@
 		return nil, false
 	}
 	for from, o := range a.evidence.byWitness {
-		if !c.isFresh(o) {
+		if !c.isCurrent(o) {
 			continue
 		}
 		own := a.total
 		if a.includes(from, o) {
-			own = a.total.sub(o.Window)
+			own = a.total.minus(o.Window)
 			if o.Window.Failing > 0 {
 				witnesses = append(witnesses, from)
 			}
 		}
-		if c.nodeCount > 1 && !isUnhealthy(a.key.Mode, own, others.sub(byNode[from])) {
+		if c.nodeCount > 1 && !isUnhealthy(a.key.Mode, own, others.minus(byNode[from])) {
 			return nil, false
 		}
 	}
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -95,8 +95,8 @@
 	return NoEvidence
 }
 
-// pathWorked reports whether the attempt shows that the network path to the backend and back worked.
-func (a AttemptEnd) pathWorked() bool {
+// provesPathWorked reports whether the attempt shows that the network path to the backend and back worked.
+func (a AttemptEnd) provesPathWorked() bool {
 	return a.PartialAnswer || a.Malformed || a.Ending == control.Succeeded || a.Ending == control.Errored || a.Ending == control.Rejected
 }
 
@@ -119,5 +119,5 @@
 			text += fmt.Sprintf("%d %s, ", counts[k], k)
 		}
 	}
-	return text + fmt.Sprintf("%d of %d failing in 10 s", w.Failing, w.total())
+	return text + fmt.Sprintf("%d of %d failing in 10 s", w.Failing, w.attemptCount())
 }
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -37,8 +37,8 @@
 	maxLocalDoublings = 3
 )
 
-// doubtRate is the failure rate, by mode, from which a backend is suspected and a node reports on it.
-var doubtRate = [modeCount]float64{0.05, 0.3}
+// suspectFailureRate is the failure rate, by mode, from which a backend is suspected and a node reports on it.
+var suspectFailureRate = [modeCount]float64{0.05, 0.3}
 
 // Node is the part that runs on every node. It observes backends, reports to the coordinator and sets each backend's access according to the
 // ejections.
@@ -98,12 +98,12 @@
 	n.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
 		if instance := n.backends[e.Key.ID]; instance != nil {
-			n.applyKey(instance, e.Key.Mode)
+			n.applyEjectionRevision(instance, e.Key.Mode)
 		}
 	} else {
 		for _, instance := range n.backends {
-			n.applyKey(instance, Strict)
-			n.applyKey(instance, Patient)
+			n.applyEjectionRevision(instance, Strict)
+			n.applyEjectionRevision(instance, Patient)
 		}
 	}
 	if !s.Enabled() {
@@ -115,13 +115,13 @@
 	n.updateAccess()
 }
 
-// applyKey discards what was observed of a key if its ejection has a new revision, and marks the service for updateAccess.
-func (n *Node) applyKey(instance *backend, m Mode) {
+// applyEjectionRevision discards what was observed of a key if its ejection has a new revision, and marks the service for updateAccess.
+func (n *Node) applyEjectionRevision(instance *backend, m Mode) {
 	state := &instance.keys[m]
-	if rev := n.state.revision(state.key); rev != state.revision {
+	if rev := n.state.ejectionRevision(state.key); rev != state.revision {
 		n.resetKey(state, rev)
 	}
-	n.queueService(instance.service)
+	n.queueAccessUpdate(instance.service)
 }
 
 // SetConnected sets whether this node is connected to the core. When the connection is restored, the node drops the evidence that a network
@@ -148,7 +148,7 @@
 	}
 	instance.Backend = b
 	svc := instance.service
-	n.queueService(svc)
+	n.queueAccessUpdate(svc)
 	at, listed := slices.BinarySearchFunc(svc.backends, b.ID, func(o *backend, id InstanceID) int {
 		return Key{ID: o.ID}.compare(Key{ID: id})
 	})
@@ -175,7 +175,7 @@
 	for m := range instance.keys {
 		state := &instance.keys[m]
 		state.key, state.backend = Key{b.ID, Mode(m)}, instance
-		n.resetKey(state, n.state.revision(state.key))
+		n.resetKey(state, n.state.ejectionRevision(state.key))
 	}
 	n.backends[b.ID] = instance
 	return instance
@@ -203,7 +203,7 @@
 }
 
 // Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
-func (n *Node) Revision(k Key) uint64 { return n.state.revision(k) }
+func (n *Node) Revision(k Key) uint64 { return n.state.ejectionRevision(k) }
 
 // HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether the
 // instance that answered is healthy.
@@ -235,38 +235,38 @@
 			n.active[k] = &instance.keys[k.Mode]
 		}
 	}
-	n.report(r.Keys)
+	n.pushReport(r.Keys)
 }
 
 // Tick sets the clock, counts delayed evidence, updates keys and access, probes backends and reports what is due.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
-	n.releaseDelayed()
+	n.releaseDelayedEvidence()
 	keys := slices.SortedFunc(maps.Keys(n.active), Key.compare)
 	for _, k := range keys {
 		n.maintainKey(n.active[k])
 	}
 	for _, svc := range n.services {
 		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableInterval {
-			n.queueService(svc)
+			n.queueAccessUpdate(svc)
 		}
 	}
-	n.probeIdle()
+	n.probeIdleBackends()
 	n.updateAccess()
-	n.report(keys)
+	n.pushReport(keys)
 }
 
-// probe pushes a probe of a backend, unless the last probe was less than probeInterval ago.
-func (n *Node) probe(instance *backend) {
+// pushProbe pushes a probe of a backend, unless the last probe was less than probeInterval ago.
+func (n *Node) pushProbe(instance *backend) {
 	if n.now-instance.probedAt >= probeInterval {
 		instance.probedAt = n.now
 		n.push(Probe{instance.ID})
 	}
 }
 
-// probeIdle probes the ready backends that this node owns and that have not answered or been probed for Settings.ProbeIdleAfter. It does
+// probeIdleBackends probes the ready backends that this node owns and that have not answered or been probed for Settings.ProbeIdleAfter. It does
 // nothing if that setting is 0.
-func (n *Node) probeIdle() {
+func (n *Node) probeIdleBackends() {
 	after := time.Duration(n.state.Settings().ProbeIdleAfter)
 	if after == 0 || !n.state.Enabled() {
 		return
@@ -274,14 +274,14 @@
 	for _, svc := range n.services {
 		for _, instance := range svc.backends {
 			if instance.Owned && n.now-max(instance.lastAnswerAt, instance.probedAt) >= after {
-				n.probe(instance)
+				n.pushProbe(instance)
 			}
 		}
 	}
 }
 
-// report pushes a report with the observations of those keys whose report is due.
-func (n *Node) report(keys []Key) {
+// pushReport pushes a report with the observations of those keys whose report is due.
+func (n *Node) pushReport(keys []Key) {
 	if n.disconnected || !n.state.Enabled() {
 		return
 	}
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -69,7 +69,7 @@
 	if instance == nil || !n.state.Enabled() {
 		return
 	}
-	if seen.pathWorked() {
+	if seen.provesPathWorked() {
 		instance.lastAnswerAt = n.now
 		path := n.zonePaths[instance.Zone]
 		if path == nil {
@@ -81,19 +81,19 @@
 	if kind == ConnectionReset {
 		n.resets = append(n.resets, observedReset{k.ID, n.now})
 	}
-	n.record(instance, k, rev, kind, sent)
+	n.recordOutcome(instance, k, rev, kind, sent)
 }
 
 // RecordEvidence records evidence that does not follow from the end of an attempt. Its kind is StrayAnswer or DuplicateAnswer. rev is the key's revision when
 // the connection's last attempt was sent.
 func (n *Node) RecordEvidence(k Key, rev uint64, kind EvidenceKind) {
 	if instance := n.backends[k.ID]; instance != nil && n.state.Enabled() {
-		n.record(instance, k, rev, kind, n.now)
+		n.recordOutcome(instance, k, rev, kind, n.now)
 	}
 }
 
-// record records one item of evidence on a key. It ignores evidence of another revision than the current one.
-func (n *Node) record(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
+// recordOutcome records one item of evidence on a key. It ignores evidence of another revision than the current one.
+func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
 	}
@@ -103,10 +103,10 @@
 	}
 	switch {
 	case kind == CleanAnswer:
-		w := state.window.slotAt(n.now)
+		w := state.window.advanceTo(n.now)
 		w.Clean++
 		w.LatencyMillis += uint32((n.now - sent).Milliseconds())
-		instance.service.windows[k.Mode].slotAt(n.now).Clean++
+		instance.service.windows[k.Mode].advanceTo(n.now).Clean++
 		state.Clean++
 		if s := &instance.keys[Strict]; k.Mode == Patient && s.revision > 0 {
 			s.Reads++
@@ -118,7 +118,7 @@
 		}
 		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sent}, state, rev, sent})
 		n.active[k] = state
-		n.queueService(instance.service)
+		n.queueAccessUpdate(instance.service)
 	default:
 		n.countEvidence(state, evidenceItem{kind, n.now, 0})
 	}
@@ -130,13 +130,13 @@
 func (n *Node) countEvidence(state *keyState, item evidenceItem) {
 	m := state.key.Mode
 	if evidenceWeights[item.kind][m] != Partial { // A separate rule evaluates partial evidence.
-		state.window.slotAt(n.now).Failing++
-		state.backend.service.windows[m].slotAt(n.now).Failing++
+		state.window.advanceTo(n.now).Failing++
+		state.backend.service.windows[m].advanceTo(n.now).Failing++
 		state.Failing++
 	}
 	n.active[state.key] = state
 	if evidenceWeights[item.kind][m] == ByRate {
-		if state.window.sum(n.now).failureRate() >= doubtRate[m] {
+		if state.window.sum(n.now).failureRate() >= suspectFailureRate[m] {
 			state.scheduleReport(slowReportDelay)
 		}
 		return
@@ -149,7 +149,7 @@
 		state.ejectedUntil = n.now + localEjectionTime<<min(state.localEjections, maxLocalDoublings)
 		state.localEjections++
 	}
-	n.queueService(state.backend.service)
+	n.queueAccessUpdate(state.backend.service)
 }
 
 // scheduleReport schedules a report on the key for when the given time has passed since the last report. It never postpones a scheduled
@@ -165,7 +165,7 @@
 func (n *Node) mayEjectLocally(instance *backend) bool {
 	svc, count := instance.service, 0
 	for _, other := range svc.backends {
-		if state := &other.keys[Strict]; other != instance && state.locallyEjected(n.now) {
+		if state := &other.keys[Strict]; other != instance && state.isLocallyEjected(n.now) {
 			count++
 		}
 	}
@@ -176,14 +176,14 @@
 	return true
 }
 
-// locallyEjected reports whether this node itself closes the backend, without an ejection by the coordinator.
-func (k *keyState) locallyEjected(now time.Duration) bool {
+// isLocallyEjected reports whether this node itself closes the backend, without an ejection by the coordinator.
+func (k *keyState) isLocallyEjected(now time.Duration) bool {
 	return k.delayedCount > 0 || k.ejectedUntil > now
 }
 
-// releaseDelayed processes the evidence whose delay is over. It counts the evidence, or drops it if a network link or this node itself may
+// releaseDelayedEvidence processes the evidence whose delay is over. It counts the evidence, or drops it if a network link or this node itself may
 // have caused it.
-func (n *Node) releaseDelayed() {
+func (n *Node) releaseDelayedEvidence() {
 	released := 0
 	for _, delayed := range n.delayed {
 		if n.now-delayed.observedAt < linkEvidenceDelay {
@@ -195,10 +195,10 @@
 			continue
 		}
 		state.delayedCount = max(state.delayedCount-1, 0)
-		n.queueService(state.backend.service)
+		n.queueAccessUpdate(state.backend.service)
 		// A partition itself causes no connection resets, so a reset needs no intact path. Connections that a partition broke show as resets of
 		// several backends at the same time.
-		if !n.disconnected && n.otherResets(delayed) < maxOtherResets && (delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].intact(delayed.sentAt, n.now)) {
+		if !n.disconnected && n.otherResetCount(delayed) < maxOtherResets && (delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].wasIntact(delayed.sentAt, n.now)) {
 			n.countEvidence(state, delayed.evidenceItem)
 		}
 	}
@@ -206,9 +206,9 @@
 	n.resets = slices.DeleteFunc(n.resets, func(r observedReset) bool { return n.now-r.observedAt > 3*linkEvidenceDelay })
 }
 
-// otherResets returns the number of other backends that reset a connection within linkEvidenceDelay of the given reset. It returns 0 for
+// otherResetCount returns the number of other backends that reset a connection within linkEvidenceDelay of the given reset. It returns 0 for
 // evidence that is not a reset.
-func (n *Node) otherResets(delayed delayedEvidence) int {
+func (n *Node) otherResetCount(delayed delayedEvidence) int {
 	if delayed.kind != ConnectionReset {
 		return 0
 	}
@@ -227,15 +227,15 @@
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
 		state.ejectedUntil = 0
-		n.queueService(state.backend.service)
+		n.queueAccessUpdate(state.backend.service)
 	}
 	ejection := n.state.Ejection(state.key)
 	if ejection != nil && ejection.Step != InService && n.state.Enabled() {
 		if state.Totals != state.reportedTotals {
 			state.scheduleReport(slowReportDelay)
 		}
-		if state.backend.Owned && ejection.wantsProbes() && n.now-state.revisionSince >= ejectionTime(n.state, ejection) {
-			n.probe(state.backend)
+		if state.backend.Owned && ejection.advancesByProbes() && n.now-state.revisionSince >= minEjectionDuration(n.state, ejection) {
+			n.pushProbe(state.backend)
 		}
 	} else if len(state.evidence) == 0 && state.delayedCount == 0 && state.ejectedUntil == 0 && state.reportWithin == 0 {
 		delete(n.active, state.key)
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -183,7 +183,7 @@
 		s, k := enabledState(), Key{"i-1", Strict}
 		for _, e := range []Entry{{Verb: Eject, Service: "libro", Witnesses: []Slot{0}, Sufficient: 1, ReadyBackends: 3}, {Verb: StepUp},
 			{Verb: StepUp}} {
-			e.Key, e.Revision, e.FencingToken = k, s.revision(k), 1
+			e.Key, e.Revision, e.FencingToken = k, s.ejectionRevision(k), 1
 			_, err := s.Apply(&e)
 			must.NoError(t, err)
 		}
@@ -191,7 +191,7 @@
 		coordinator.SetNodeCount(3)
 		coordinator.SetBackend(readyBackend("i-1"))
 		coordinator.ApplyState(s, nil)
-		coordinator.HandleReport(Slot(witness), newReport(1, s.revision(k), "i-1", DuplicateAnswer))
+		coordinator.HandleReport(Slot(witness), newReport(1, s.ejectionRevision(k), "i-1", DuplicateAnswer))
 		coordinator.Tick(time.Second)
 		_, ok := coordinator.Next()
 		must.Eq(t, want == 1, ok)
@@ -230,7 +230,7 @@
 					case SendReport:
 						must.True(t, connected)
 						for _, observation := range action.Report.Observations {
-							must.Eq(t, s.revision(observation.Key), observation.Rev)
+							must.Eq(t, s.ejectionRevision(observation.Key), observation.Rev)
 							if len(observation.Evidence) > 0 {
 								must.True(t, observation.ID == "i-1" && !gone && now-lostAt >= linkEvidenceDelay)
 								reported++
@@ -247,7 +247,7 @@
 			}
 		}
 		run(3*time.Second, true)
-		revision := s.revision(k)
+		revision := s.ejectionRevision(k)
 		for _, i := range order {
 			switch i {
 			case 0:
@@ -256,7 +256,7 @@
 					lostAt = now
 				}
 			case 1:
-				e := Entry{Verb: Eject, Key: k, Service: "libro", Witnesses: []Slot{2, 3}, ReadyBackends: 4, FencingToken: 1, Revision: s.revision(k)}
+				e := Entry{Verb: Eject, Key: k, Service: "libro", Witnesses: []Slot{2, 3}, ReadyBackends: 4, FencingToken: 1, Revision: s.ejectionRevision(k)}
 				if _, err := s.Apply(&e); err == nil {
 					node.ApplyState(s, &e)
 				}
@@ -438,7 +438,7 @@
 	eject := func(i int, witnesses ...Slot) (routing.Result, error) {
 		k := Key{InstanceID(fmt.Sprintf("i-%04d", i)), Strict}
 		return s.Apply(&Entry{Verb: Eject, Key: k, Service: fmt.Sprint("s-", i%9), Witnesses: witnesses, Sufficient: 1, ReadyBackends: 16, FencingToken: 1,
-			Revision: s.revision(k), Reason: strings.Repeat("x", maxTextBytes)})
+			Revision: s.ejectionRevision(k), Reason: strings.Repeat("x", maxTextBytes)})
 	}
 	for i := range 9 { // The limit of the sole witness is two backends of one service, and four in total.
 		_, err := eject(i*9%18, 5)
@@ -446,10 +446,10 @@
 	}
 	k := Key{"i-0000", Strict}
 	for _, verb := range []Verb{StepUp, StepUp, Readmit} {
-		_, err := s.Apply(&Entry{Verb: verb, Key: k, Revision: s.revision(k), FencingToken: 1})
+		_, err := s.Apply(&Entry{Verb: verb, Key: k, Revision: s.ejectionRevision(k), FencingToken: 1})
 		must.NoError(t, err)
 	}
-	must.Eq(t, 1, s.refutations(5))
+	must.Eq(t, 1, s.refutationCount(5))
 	_, err := eject(18, 5) // One backend of this service of 16 is already ejected, and the limit of the refuted witness is now one.
 	must.Error(t, err)
 	_, err = eject(18, 5, 6) // Two witnesses do not suffice, because one of them was refuted.
@@ -462,7 +462,7 @@
 	}
 	must.Len(t, maxEjections, s.Ejections())
 	must.Len(t, maxHistory, s.History())
-	must.Eq(t, 0, s.refutations(5)) // The refutation is forgiven after many entries.
+	must.Eq(t, 0, s.refutationCount(5)) // The refutation is forgiven after many entries.
 	encoded := s.Snapshot()
 	must.Less(t, 1<<20, len(encoded))
 	restored, err := Restore(encoded)
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -35,8 +35,8 @@
 	proposedAt time.Duration
 }
 
-// ejectionTime returns the minimum duration of an ejection. It doubles with each repeated ejection, up to maxEjectionTime.
-func ejectionTime(s *State, e *Ejection) time.Duration {
+// minEjectionDuration returns the minimum duration of an ejection. It doubles with each repeated ejection, up to maxEjectionTime.
+func minEjectionDuration(s *State, e *Ejection) time.Duration {
 	return min(time.Duration(s.Settings().BaseEjectionTime)<<e.Repeats, maxEjectionTime)
 }
 
@@ -49,12 +49,14 @@
 	return readmitReads
 }
 
-// wantsProbes reports whether clean probes can advance the recovery in the current step.
-func (e *Ejection) wantsProbes() bool { return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService }
+// advancesByProbes reports whether clean probes can advance the recovery in the current step.
+func (e *Ejection) advancesByProbes() bool {
+	return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService
+}
 
-// advanceRecovery proposes the next recovery step of an ejection once the requirements of the current step are met. The required answers
+// proposeRecoveryStep proposes the next recovery step of an ejection once the requirements of the current step are met. The required answers
 // must come from several nodes, because one node alone may be wrong.
-func (c *Coordinator) advanceRecovery(e *Ejection) {
+func (c *Coordinator) proposeRecoveryStep(e *Ejection) {
 	r, backend := c.recoveries[e.Key], c.backends[e.ID]
 	if e.Step == InService || r == nil || backend.ID == "" || backend.Phase != Ready {
 		return
@@ -68,7 +70,7 @@
 	ready := false
 	switch {
 	case e.Step == Ejected:
-		ready = c.now-r.since >= ejectionTime(c.state, e) && totals.Probes >= readmitProbes
+		ready = c.now-r.since >= minEjectionDuration(c.state, e) && totals.Probes >= readmitProbes
 	case e.Step == ReadsOnly && e.Mode == Strict:
 		ready = totals.Reads+2*totals.Probes >= e.requiredAnswers()
 	default:
@@ -100,9 +102,9 @@
 	return sum
 }
 
-// forgetGone proposes to remove the ejections of instances that are gone. It includes instances that are not in the registry when the
+// proposeForgetGone proposes to remove the ejections of instances that are gone. It includes instances that are not in the registry when the
 // coordinator has run for longer than unknownTTL.
-func (c *Coordinator) forgetGone() {
+func (c *Coordinator) proposeForgetGone() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
 	}
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -23,8 +23,8 @@
 	Totals
 }
 
-// valid reports whether an observation is within the bounds that every node keeps to.
-func (o *Observation) valid() bool {
+// isValid reports whether an observation is within the bounds that every node keeps to.
+func (o *Observation) isValid() bool {
 	return o.Mode < modeCount && len(o.Slots) <= maxReportedSlots && len(o.Evidence) <= maxEvidence &&
 		!slices.ContainsFunc(o.Evidence, func(e Evidence) bool { return e.Kind >= evidenceKindCount || e.Age < 0 || e.Timeout < 0 })
 }
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -43,8 +43,8 @@
 	Backend
 	service         *simService
 	fault           faultFunc
-	faultFrom       time.Duration // The start of the fault.
-	faultUntil      time.Duration // The end of the fault. 0: the fault does not end.
+	faultStart      time.Duration // The start of the fault.
+	faultEnd        time.Duration // The end of the fault. 0: the fault does not end.
 	crashed         bool
 	latencyFactor   float64
 	firstEvidenceAt time.Duration // The time when a node first saw evidence.
@@ -100,7 +100,7 @@
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	worstPatientShare                float64       // The largest number of backends not open to patient requests, as a fraction of the allowed number (the ready ones minus minInService).
+	worstPatientShare                float64       // The largest number of backends not open to patient requests, as a fraction of the allowed number (the ready ones minus Settings.requiredInService).
 	wronglyClosed                    time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
 	wronglyClosedLocally             time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
 	wronglyEjected                   map[InstanceID]bool
@@ -156,7 +156,7 @@
 func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
 	sim.startedBackends++
 	b := &simBackend{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", sim.startedBackends)), Service: svc.name, Zone: zoneName(zone)}, service: svc,
-		latencyFactor: math.Exp(0.15 * sim.rng.NormFloat64()), faultFrom: farFuture, firstEvidenceAt: farFuture}
+		latencyFactor: math.Exp(0.15 * sim.rng.NormFloat64()), faultStart: farFuture, firstEvidenceAt: farFuture}
 	sim.backends, svc.backends = append(sim.backends, b), append(svc.backends, b)
 	sim.updateRegistry(b)
 	return b
@@ -182,8 +182,8 @@
 	sim.coordinator.ApplyState(sim.state, nil)
 }
 
-// partitionedUntil returns the end of the partitions between two places. It returns 0 if they can reach each other. A node of -1 is a backend.
-func (sim *simulation) partitionedUntil(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
+// partitionEnd returns the end of the partitions between two places. It returns 0 if they can reach each other. A node of -1 is a backend.
+func (sim *simulation) partitionEnd(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
 	for _, p := range sim.partitions {
 		if sim.now < p.from || sim.now >= p.to {
 			continue
@@ -230,9 +230,9 @@
 	}
 }
 
-// applyEntries applies the entries that have arrived at a node, if the node is connected to the coordinator's node.
-func (sim *simulation) applyEntries(node *simNode) {
-	connected := sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0
+// applyArrivedEntries applies the entries that have arrived at a node, if the node is connected to the coordinator's node.
+func (sim *simulation) applyArrivedEntries(node *simNode) {
+	connected := sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0
 	if node.SetConnected(connected); !connected {
 		return
 	}
@@ -269,7 +269,7 @@
 		sim.sendRequests(svc, Patient, svc.readRate)
 	}
 	for _, node := range sim.nodes {
-		sim.applyEntries(node)
+		sim.applyArrivedEntries(node)
 		if sim.now%(2*tickInterval) == 0 || len(node.delayed) > 0 {
 			node.Tick(sim.now)
 		}
@@ -285,7 +285,7 @@
 			}
 		case BroadcastRequest:
 			for _, node := range sim.nodes {
-				if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
+				if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
 					sim.schedule(tickInterval, func() { node.HandleReportRequest(action.Request) })
 				}
 			}
@@ -317,7 +317,7 @@
 			node.access[action.Key] = action
 		case Probe:
 			for _, b := range sim.backends {
-				if b.ID == action.ID && !b.crashed && sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
+				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
 					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
 				}
 			}
@@ -344,7 +344,7 @@
 	}
 	for range copies {
 		sim.schedule(time.Duration(sim.rng.Intn(60))*ms, func() {
-			if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
+			if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
 				sim.coordinator.HandleReport(node.slot, report)
 			}
 		})
@@ -398,17 +398,17 @@
 	node.inFlight[req.key]++
 	node.lastSentAt[req.key] = sim.now
 	kind, slowdown := NoEvidence, 1.0
-	if b.fault != nil && sim.now >= b.faultFrom {
+	if b.fault != nil && sim.now >= b.faultStart {
 		kind, slowdown = b.fault(sim, node, m)
 	}
 	if kind == NoEvidence && sim.rng.Float64() < sim.baseErrorRate {
 		kind = ServerError
 	}
 	latency := time.Duration(float64(svc.typicalLatency) * b.latencyFactor * slowdown * math.Exp(0.4*sim.rng.NormFloat64()))
-	if b.faultUntil > 0 { // After the end of the fault the request continues at the usual speed.
-		latency = min(latency, b.faultUntil-sim.now+time.Duration(float64(latency)/slowdown))
+	if b.faultEnd > 0 { // After the end of the fault the request continues at the usual speed.
+		latency = min(latency, b.faultEnd-sim.now+time.Duration(float64(latency)/slowdown))
 	}
-	if until := sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
+	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
 	for _, p := range sim.partitions { // A partition that begins while the request is in flight.
@@ -450,7 +450,7 @@
 	req.done = true
 	node := req.node
 	node.inFlight[req.key]--
-	if kind := req.outcome.EvidenceKind(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultFrom {
+	if kind := req.outcome.EvidenceKind(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultStart {
 		req.backend.firstEvidenceAt = sim.now
 	}
 	node.Node.now = sim.now
@@ -490,7 +490,7 @@
 				}
 			}
 		}
-		minimum := node.state.Settings().minInService(ready)
+		minimum := node.state.Settings().requiredInService(ready)
 		if open < minimum {
 			panic(fmt.Sprintf("node %d has %d of %d backends open, the minimum is %d", node.slot, open, ready, minimum))
 		}
@@ -508,7 +508,7 @@
 		}
 	}
 	for _, b := range candidates[:int(backendShare*float64(len(candidates)))] {
-		b.faultFrom, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
+		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
 		b.fault = func(sim *simulation, node *simNode, mode Mode) (EvidenceKind, float64) {
 			if mode == m && sim.rng.Float64() < requestShare && (caller < 0 || caller == node.zone && caller != zoneOf(b)) {
 				return kind, 1
@@ -584,9 +584,9 @@
 				sim.resetConnections(func(req *simRequest) bool { return req.node == node })
 			case 5: // A backend is slow for ten seconds.
 				b, slowdown := randomBackend(), []float64{3, 10, 100}[sim.rng.Intn(3)]
-				b.faultFrom, b.faultUntil = sim.now, sim.now+10*time.Second
+				b.faultStart, b.faultEnd = sim.now, sim.now+10*time.Second
 				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
-				sim.schedule(10*time.Second, func() { b.fault, b.faultUntil = nil, 0 })
+				sim.schedule(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
 			case 6:
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
@@ -604,7 +604,7 @@
 	sim.partitions = nil
 	for _, node := range sim.nodes {
 		node.applyAt = map[int]time.Duration{}
-		sim.applyEntries(node)
+		sim.applyArrivedEntries(node)
 		sim.handleActions(node)
 		if !bytes.Equal(sim.state.Snapshot(), node.state.Snapshot()) {
 			panic(fmt.Sprint("node ", node.slot, " differs in its state from the log"))
@@ -696,7 +696,7 @@
 		for m := range modeCount {
 			observation := Observation{Key: Key{sim.backends[i].ID, m}, Window: Window{0, 1000, 0}, ServiceWindow: Window{1 << 20, 0, 0}, Slots: slots,
 				Totals: Totals{Failing: 1 << 20}}
-			observation.Rev = node.state.revision(observation.Key)
+			observation.Rev = node.state.ejectionRevision(observation.Key)
 			for kind := ServerError; kind < evidenceKindCount; kind++ {
 				observation.Evidence = append(observation.Evidence, Evidence{kind, 0, 2 * time.Second})
 			}
@@ -723,13 +723,13 @@
 				sim.scheduleDisturbances(5 * time.Second)
 			}
 			sim.baseErrorRate = 0.004
-			liar := sim.nodes[1]
-			liar.forgeReport = sim.forgedReport
+			lyingNode := sim.nodes[1]
+			lyingNode.forgeReport = sim.forgedReport
 			for sim.now < 90*time.Second {
 				sim.step()
 				soleEjections, byService := 0, map[string]int{}
 				for _, ejection := range sim.state.Ejections() {
-					if ejection.Step != InService && ejection.SoleWitness == liar.slot {
+					if ejection.Step != InService && ejection.SoleWitness == lyingNode.slot {
 						soleEjections++
 						byService[ejection.Service+ejection.Mode.String()]++
 					} else if ejection.Step != InService && !tc.disturbed {
@@ -741,7 +741,7 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("node %d alone has ejected %d backends of %s, %d in total", liar.slot, count, svc.name, soleEjections))
+							panic(fmt.Sprintf("node %d alone has ejected %d backends of %s, %d in total", lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
 				}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -55,29 +55,29 @@
 
 // Ejection returns the ejection of a key, or nil if none is stored. The caller must not change it.
 func (s *State) Ejection(k Key) *Ejection {
-	if i, ok := s.find(k); ok {
+	if i, ok := s.findEjection(k); ok {
 		return &s.snapshot.Ejections[i]
 	}
 	return nil
 }
 
-// revision returns the revision of a key's ejection, under which its evidence is gathered now. It is 0 if no ejection is stored.
-func (s *State) revision(k Key) uint64 {
+// ejectionRevision returns the revision of a key's ejection, under which its evidence is gathered now. It is 0 if no ejection is stored.
+func (s *State) ejectionRevision(k Key) uint64 {
 	if ejection := s.Ejection(k); ejection != nil {
 		return ejection.Rev
 	}
 	return 0
 }
 
-// find returns the index of a key's ejection, or the index to insert it at and false.
-func (s *State) find(k Key) (int, bool) {
+// findEjection returns the index of a key's ejection, or the index to insert it at and false.
+func (s *State) findEjection(k Key) (int, bool) {
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// refute records that a backend that was ejected on the evidence of w alone came back into service, and that no other node had confirmed the
+// recordRefutation records that a backend that was ejected on the evidence of w alone came back into service, and that no other node had confirmed the
 // evidence.
-func (s *State) refute(w Slot) {
-	n := s.refutations(w) + 1
+func (s *State) recordRefutation(w Slot) {
+	n := s.refutationCount(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
 	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
 }
@@ -106,7 +106,7 @@
 	default:
 		ejection := s.Ejection(e.Key)
 		if e.Verb == Readmit && ejection.SoleWitness != membership.NoSlot {
-			s.refute(ejection.SoleWitness)
+			s.recordRefutation(ejection.SoleWitness)
 		}
 		if e.Verb == StepUp {
 			step = ejection.Step.next(ejection.Mode)
@@ -124,12 +124,12 @@
 // eject starts an ejection. If too many ejections are stored, it drops the oldest one whose backend is back in service.
 func (s *State) eject(e *Entry) {
 	sole, _ := s.soleWitness(e)
-	i, exists := s.find(e.Key)
+	i, exists := s.findEjection(e.Key)
 	if !exists {
 		if len(s.snapshot.Ejections) >= maxEjections {
-			oldest := s.oldestInService()
+			oldest := s.oldestInServiceIndex()
 			s.snapshot.Ejections = slices.Delete(s.snapshot.Ejections, oldest, oldest+1)
-			i, _ = s.find(e.Key)
+			i, _ = s.findEjection(e.Key)
 		}
 		s.snapshot.Ejections = slices.Insert(s.snapshot.Ejections, i, Ejection{Key: e.Key, Repeats: -1})
 	}
--- a/internal/gateway/outlier/window.go
+++ b/internal/gateway/outlier/window.go
@@ -32,16 +32,16 @@
 	w.LatencyMillis += o.LatencyMillis
 }
 
-// sub returns the window without the counts of another window. No count falls below 0.
-func (w Window) sub(o Window) Window {
+// minus returns the window without the counts of another window. No count falls below 0.
+func (w Window) minus(o Window) Window {
 	return Window{w.Clean - min(o.Clean, w.Clean), w.Failing - min(o.Failing, w.Failing), w.LatencyMillis - min(o.LatencyMillis, w.LatencyMillis)}
 }
 
-// total returns the number of attempts that ended.
-func (w Window) total() uint32 { return w.Clean + w.Failing }
+// attemptCount returns the number of attempts that ended.
+func (w Window) attemptCount() uint32 { return w.Clean + w.Failing }
 
 // failureRate returns the share of attempts that failed, from 0 to 1. It is 0 for an empty window.
-func (w Window) failureRate() float64 { return float64(w.Failing) / max(float64(w.total()), 1) }
+func (w Window) failureRate() float64 { return float64(w.Failing) / max(float64(w.attemptCount()), 1) }
 
 // slidingWindow counts the attempts that ended within the last windowDuration, in slots of slotDuration.
 type slidingWindow struct {
@@ -50,8 +50,8 @@
 	newestSlot time.Duration
 }
 
-// slotAt advances the window to a time and returns the slot of that time. It clears the slots that the window has passed.
-func (s *slidingWindow) slotAt(now time.Duration) *Window {
+// advanceTo advances the window to a time and returns the slot of that time. It clears the slots that the window has passed.
+func (s *slidingWindow) advanceTo(now time.Duration) *Window {
 	slot := now / slotDuration
 	for i := max(s.newestSlot+1, slot-windowSlots+1); i <= slot; i++ {
 		s.slots[i%windowSlots] = Window{}
@@ -62,7 +62,7 @@
 
 // sum returns the sum of all slots of the window that ends now.
 func (s *slidingWindow) sum(now time.Duration) (w Window) {
-	s.slotAt(now)
+	s.advanceTo(now)
 	for _, window := range s.slots {
 		w.add(window)
 	}
@@ -71,7 +71,7 @@
 
 // completedSlots returns up to maxReportedSlots completed slots, the newest first.
 func (s *slidingWindow) completedSlots(now time.Duration) (list []Window) {
-	s.slotAt(now)
+	s.advanceTo(now)
 	for i := range min(maxReportedSlots, s.newestSlot) {
 		list = append(list, s.slots[(s.newestSlot-1-i)%windowSlots])
 	}
--- a/internal/gateway/outlier/zonepath.go
+++ b/internal/gateway/outlier/zonepath.go
@@ -30,22 +30,22 @@
 	return &zonePath{lastAnswerAt: now, steadySince: now, smoothedGap: maxGap.Seconds() / gapFactor}
 }
 
-// tolerance returns the longest gap between two answers that is considered normal.
-func (z *zonePath) tolerance() time.Duration {
+// gapTolerance returns the longest gap between two answers that is considered normal.
+func (z *zonePath) gapTolerance() time.Duration {
 	return min(max(time.Duration(gapFactor*z.smoothedGap*float64(time.Second)), minGap), maxGap)
 }
 
 // observeAnswer records an answer of one of the zone's backends.
 func (z *zonePath) observeAnswer(now time.Duration) {
-	if now-z.lastAnswerAt > z.tolerance() {
+	if now-z.lastAnswerAt > z.gapTolerance() {
 		z.steadySince = now
 	}
 	z.smoothedGap += gapSmoothing * (min(now-z.lastAnswerAt, maxGap).Seconds() - z.smoothedGap)
 	z.lastAnswerAt = now
 }
 
-// intact reports whether the zone's answers have arrived without a long gap in the time between from and now. They must have arrived so
+// wasIntact reports whether the zone's answers have arrived without a long gap in the time between from and now. They must have arrived so
 // frequently that a partition for half of that time would have been noticed. intact returns false for a nil zonePath.
-func (z *zonePath) intact(from, now time.Duration) bool {
-	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.tolerance() && z.tolerance() <= max((now-from)/2, minGap)
+func (z *zonePath) wasIntact(from, now time.Duration) bool {
+	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.gapTolerance() && z.gapTolerance() <= max((now-from)/2, minGap)
 }
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -39,12 +39,12 @@
 type pendingCall struct {
 	ticket    Ticket
 	entry     *entry
-	requested departure
+	requested departureState
 	since     time.Duration
 }
 
-// deadline returns the next time at which the call must be checked.
-func (p pendingCall) deadline(now time.Duration) time.Duration {
+// nextCheckAt returns the next time at which the call must be checked.
+func (p pendingCall) nextCheckAt(now time.Duration) time.Duration {
 	if now < p.since+allCopiesTimeout {
 		return p.since + allCopiesTimeout
 	}
@@ -58,19 +58,19 @@
 	return r.lastTicket
 }
 
-// trackCall answers the last call at once if its result is known. Otherwise it stores the call until other nodes have the
+// answerOrStoreCall answers the last call at once if its result is known. Otherwise it stores the call until other nodes have the
 // departure.
-func (r *Registry) trackCall(e *entry, requested departure) {
+func (r *Registry) answerOrStoreCall(e *entry, requested departureState) {
 	call := pendingCall{ticket: r.lastTicket, entry: e, requested: requested, since: r.now}
 	if requested != notDeparting {
 		for _, s := range r.peerSlots {
 			p := r.peers[s]
-			if r.sendsUpdatesTo(p) && e.notified[s] < requested && !p.hasInFlight(e.record.ID, requested) {
+			if r.sendsUpdatesTo(p) && e.notified[s] < requested && !p.hasDepartureInFlight(e.record.ID, requested) {
 				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
-	if confirmed, decided := r.decide(call); decided {
+	if confirmed, decided := r.decideCall(call); decided {
 		r.answerCall(call, confirmed)
 		return
 	}
@@ -87,7 +87,7 @@
 // answerDecidedCalls answers all pending calls whose result is known.
 func (r *Registry) answerDecidedCalls() {
 	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(call pendingCall) bool {
-		confirmed, decided := r.decide(call)
+		confirmed, decided := r.decideCall(call)
 		if decided {
 			r.answerCall(call, confirmed)
 		}
@@ -95,11 +95,11 @@
 	})
 }
 
-// decide reports whether a call can be answered now, and whether it is confirmed. A departure is confirmed when all peers
+// decideCall reports whether a call can be answered now, and whether it is confirmed. A departure is confirmed when all peers
 // that this node sends updates to have it, and MinCopies nodes with a disk have it. These nodes forward the departure to
 // the remaining nodes. After allCopiesTimeout, MinCopies copies and one other node that has the departure are sufficient.
 // If too few nodes with a disk are reachable, the call fails at once, because another node may reach enough of them.
-func (r *Registry) decide(call pendingCall) (confirmed, decided bool) {
+func (r *Registry) decideCall(call pendingCall) (confirmed, decided bool) {
 	if call.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
 	}
@@ -160,9 +160,9 @@
 }
 
 // recordNotified records that a node has a departure of the backend.
-func (e *entry) recordNotified(s Slot, d departure) {
+func (e *entry) recordNotified(s Slot, d departureState) {
 	if e.notified == nil {
-		e.notified = map[Slot]departure{}
+		e.notified = map[Slot]departureState{}
 	}
 	e.notified[s] = max(e.notified[s], d)
 }
@@ -172,7 +172,7 @@
 func (r *Registry) unconfirmedDepartures(p *peer) (ids []string) {
 	collect := func(candidates []string) {
 		for _, id := range candidates {
-			if e := r.entries[id]; e != nil && e.departure() > e.notified[p.node.Slot] {
+			if e := r.entries[id]; e != nil && e.departureState() > e.notified[p.node.Slot] {
 				ids = append(ids, id)
 			}
 		}
@@ -218,7 +218,7 @@
 			continue
 		}
 		for _, update := range m.Updates {
-			if e := r.entries[update.ID]; e != nil && e.departure() > e.notified[s] && !p.hasInFlight(update.ID, e.departure()) {
+			if e := r.entries[update.ID]; e != nil && e.departureState() > e.notified[s] && !p.hasDepartureInFlight(update.ID, e.departureState()) {
 				r.enqueueUpdate(p, update.ID, true)
 			}
 		}
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -7,13 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// partition drops all messages between two nodes from now on. The nodes notice it at the next updateNodes.
-func (f *fleet) partition(a, b Slot) {
+// partitionNodes drops all messages between two nodes from now on. The nodes notice it at the next updateNodes.
+func (f *fleet) partitionNodes(a, b Slot) {
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// drain has a backend report at a node that it is draining. answered is false if the node has not answered yet.
-func (f *fleet) drain(b *backend, at Slot) (a Acknowledge, answered bool) {
+// sendDrainCall has a backend report at a node that it is draining. answered is false if the node has not answered yet.
+func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
@@ -30,20 +30,20 @@
 	for _, at := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
 		b := newBackend(1)
-		f.heartbeat(b, 1)
+		f.sendHeartbeat(b, 1)
 		f.advance(time.Second)
 		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
 			for _, o := range []Slot{1, 2} {
-				f.partition(isolated, o)
+				f.partitionNodes(isolated, o)
 			}
 		}
 		f.updateNodes()
-		a, answered := f.drain(b, at)
+		a, answered := f.sendDrainCall(b, at)
 		must.True(t, answered, must.Sprint("drain call during the partition, at node ", at))
 		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", at))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
-		a, answered = f.drain(b, at)
+		a, answered = f.sendDrainCall(b, at)
 		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", at))
 		f.requirePhase(b.ID, Draining)
 	}
@@ -55,12 +55,12 @@
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.advance(time.Second)
-	f.partition(0, 2)
+	f.partitionNodes(0, 2)
 	f.updateNodes()
-	f.partition(0, 1) // not noticed by any node
-	_, answered := f.drain(b, 0)
+	f.partitionNodes(0, 1) // not noticed by any node
+	_, answered := f.sendDrainCall(b, 0)
 	must.False(t, answered)
 	f.advance(minCopiesTimeout)
 	for ticket, a := range f.acks[0] {
@@ -69,7 +69,7 @@
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{1, 0})
 	f.advance(time.Second)
-	a, answered := f.drain(b, 0)
+	a, answered := f.sendDrainCall(b, 0)
 	must.True(t, answered && a.Confirmed)
 }
 
@@ -80,8 +80,8 @@
 	for registrar := range Slot(3) {
 		f := newFleet(t, 6, 3)
 		b := newBackend(1)
-		f.heartbeat(b, 0)
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, 0)
+		f.sendHeartbeat(b, b.target)
 		f.advance(time.Second)
 		departing := b.Record
 		departing.Seq, departing.Phase, departing.Draining, departing.Owner, departing.LostOwner = b.Seq+1, Draining, true, NoSlot, NoSlot
@@ -110,16 +110,16 @@
 func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
-	f.heartbeat(b, 2)
+	f.sendHeartbeat(b, 2)
 	f.advance(time.Second)
-	f.partition(0, 1)
+	f.partitionNodes(0, 1)
 	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
-		f.partition(5, 1)
+		f.partitionNodes(5, 1)
 	}
 	if noticed {
 		f.updateNodes()
 	}
-	f.drain(b, at)
+	f.sendDrainCall(b, at)
 	if !noticed {
 		f.advance(600 * ms)
 		f.updateNodes()
@@ -137,20 +137,20 @@
 func TestNewFollowerReceivesDepartures(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
-	f.heartbeat(b, 1)
+	f.sendHeartbeat(b, 1)
 	f.advance(time.Second)
 	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
-	f.partition(3, 0)
+	f.partitionNodes(3, 0)
 	for o := range Slot(2) {
-		f.partition(3, o+1)
+		f.partitionNodes(3, o+1)
 	}
 	f.updateNodes()
-	f.drain(b, 1)
+	f.sendDrainCall(b, 1)
 	f.registries[1].Deregister(b.ID)
 	f.advance(time.Second)
 	must.Eq(t, Ready, f.views[3][b.ID].Phase)
 	f.partitioned = map[[2]Slot]bool{}
-	f.partition(3, 0)
+	f.partitionNodes(3, 0)
 	f.updateNodes()
 	f.advance(100 * ms)
 	must.Eq(t, Gone, f.views[3][b.ID].Phase)
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -19,14 +19,14 @@
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
-// broadcast enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once.
+// broadcastRecord enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once.
 // Any other record is delayed by at most batchDelay and sent together with other changes.
-func (r *Registry) broadcast(e *entry, urgent bool) { r.forward(e, nil, urgent) }
+func (r *Registry) broadcastRecord(e *entry, urgent bool) { r.forwardRecord(e, nil, urgent) }
 
-// forward enqueues a backend's record for all peers that this node sends updates to, except from, the peer that sent the
+// forwardRecord enqueues a backend's record for all peers that this node sends updates to, except from, the peer that sent the
 // record. A node with a disk has already sent the record to all other nodes with a disk, so that its records are forwarded
 // to followers only. from is nil if the record did not come from a peer.
-func (r *Registry) forward(e *entry, from *peer, urgent bool) {
+func (r *Registry) forwardRecord(e *entry, from *peer, urgent bool) {
 	for _, s := range r.peerSlots {
 		if p := r.peers[s]; p != from && r.sendsUpdatesTo(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
 			r.enqueueUpdate(p, e.record.ID, urgent)
@@ -85,13 +85,13 @@
 	if !updatesDue && len(p.suspicions) == 0 || p.unresponsive || len(p.inFlight) >= maxInFlight {
 		return m, len(m.Acks)+len(m.Heartbeats) > 0
 	}
-	r.fillMessage(&m, r.takeInFlight(p, updatesDue))
+	r.fillMessage(&m, r.newInFlightMessage(p, updatesDue))
 	return m, true
 }
 
-// takeInFlight moves the pending suspicions of a peer, its full sync marker and, if updatesDue is true, its pending
+// newInFlightMessage moves the pending suspicions of a peer, its full sync marker and, if updatesDue is true, its pending
 // updates into one message in flight.
-func (r *Registry) takeInFlight(p *peer, updatesDue bool) *inFlightMessage {
+func (r *Registry) newInFlightMessage(p *peer, updatesDue bool) *inFlightMessage {
 	p.seq++
 	f := &inFlightMessage{seq: p.seq, sentAt: r.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
 	p.suspicions, p.fullSyncNext = nil, false
@@ -103,7 +103,7 @@
 		delete(p.pendingSet, id)
 		d := notDeparting
 		if e := r.entries[id]; e != nil {
-			d = e.departure()
+			d = e.departureState()
 		}
 		f.departures = append(f.departures, d)
 	}
@@ -118,7 +118,7 @@
 	for _, id := range f.ids {
 		if e := r.entries[id]; e != nil {
 			m.Updates = append(m.Updates, r.recordOf(e))
-			departs = departs || e.departure() > notDeparting
+			departs = departs || e.departureState() > notDeparting
 		}
 	}
 	if departs {
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -44,7 +44,7 @@
 	// True if the backend is timed out by an observation of this node that its owner has not confirmed yet.
 	suspected bool
 	// The furthest departure that each node is known to have.
-	notified map[Slot]departure
+	notified map[Slot]departureState
 
 	changeQueued       bool // is in Registry.changedEntries
 	published          Record
@@ -52,8 +52,8 @@
 	everPublished      bool // published is set
 }
 
-// departure returns how far the backend has departed.
-func (e *entry) departure() departure { return e.record.departure() }
+// departureState returns how far the backend has departed.
+func (e *entry) departureState() departureState { return e.record.departureState() }
 
 // phase returns the phase of the backend, without regard to other backends at its address. See visiblePhase.
 func (e *entry) phase() Phase {
@@ -66,9 +66,9 @@
 	return Ready
 }
 
-// entryFor returns the entry of a backend, and creates it if there is none. It returns nil if the registry is full or the
+// findOrCreateEntry returns the entry of a backend, and creates it if there is none. It returns nil if the registry is full or the
 // id is empty.
-func (r *Registry) entryFor(id string) *entry {
+func (r *Registry) findOrCreateEntry(id string) *entry {
 	if e := r.entries[id]; e != nil {
 		return e
 	}
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -47,20 +47,20 @@
 		return
 	}
 	for _, e := range r.sorted {
-		if r.includedInSync(e, s) {
+		if r.isIncludedInSync(e, s) {
 			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// includedInSync reports whether a backend is part of the sync of a peer that does not follow this node.
-func (r *Registry) includedInSync(e *entry, to Slot) bool {
+// isIncludedInSync reports whether a backend is part of the sync of a peer that does not follow this node.
+func (r *Registry) isIncludedInSync(e *entry, to Slot) bool {
 	if r.hasLiveDisk && !r.local.HasDisk {
-		return e.phase() != Gone && e.departure() > notDeparting
+		return e.phase() != Gone && e.departureState() > notDeparting
 	}
 	owner := e.record.Owner
-	return owner == r.localSlot || owner == to || e.departure() > notDeparting ||
-		r.unreachable(owner) && r.ownerFor(e, to).Slot == r.localSlot
+	return owner == r.localSlot || owner == to || e.departureState() > notDeparting ||
+		r.isUnreachable(owner) && r.ownerFor(e, to).Slot == r.localSlot
 }
 
 // enqueueSync queues a follower for a sync of the backends of its zone, ahead of all full syncs, and for a full sync. If
@@ -109,21 +109,21 @@
 		r.activate(p)
 		p.syncing, p.fullSyncNext = true, p.fullSyncNext || !request.zoneOnly
 		for _, e := range r.sorted {
-			if r.relevantToFollower(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
+			if r.isRelevantToFollower(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
 				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
 }
 
-// relevantToFollower reports whether a backend is part of the sync of a follower. This holds for backends that are not
+// isRelevantToFollower reports whether a backend is part of the sync of a follower. This holds for backends that are not
 // gone, and for gone backends whose departure the follower may not know.
-func (r *Registry) relevantToFollower(e *entry) bool {
-	return e.phase() != Gone || e.departure() > notDeparting && r.now-e.goneAt < departureRetention
+func (r *Registry) isRelevantToFollower(e *entry) bool {
+	return e.phase() != Gone || e.departureState() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
-// trackFullSync tracks the progress of the full sync that another node sends to this node.
-func (r *Registry) trackFullSync(from Slot, m *Message) {
+// trackReceivedFullSync tracks the progress of the full sync that another node sends to this node.
+func (r *Registry) trackReceivedFullSync(from Slot, m *Message) {
 	if m.FullSync {
 		r.syncSource, r.syncStartedAt, r.reportMissingAt = from, r.now, r.now+fullSyncGrace
 	}
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// followerCrowd is a node with a disk that many nodes begin to follow at once. This happens after the loss of all nodes.
-type followerCrowd struct {
+// upstreamFixture is a node with a disk that many nodes begin to follow at once. This happens after the loss of all nodes.
+type upstreamFixture struct {
 	registry    *Registry
 	recordsSent map[Slot]int  // by receiver
 	unacked     []pendingAck  // acknowledgements to be delivered
@@ -23,13 +23,13 @@
 	seq   uint64
 }
 
-// oneZone puts all backends and followers into one zone.
-func oneZone(int) string { return "" }
+// sameZone puts all backends and followers into one zone.
+func sameZone(int) string { return "" }
 
-// newFollowerCrowd returns a node with the given numbers of backends and followers. zone returns the zone of the backend
+// newUpstreamFixture returns a node with the given numbers of backends and followers. zone returns the zone of the backend
 // or follower with index i.
-func newFollowerCrowd(backends, followers int, zone func(i int) string) *followerCrowd {
-	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
+func newUpstreamFixture(backends, followers int, zone func(i int) string) *upstreamFixture {
+	c := &upstreamFixture{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	c.registry.SetNodes(nodes)
 	for i := range backends {
@@ -44,9 +44,9 @@
 	return c
 }
 
-// collect takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
+// takeMessages takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
 // the number of updates in them.
-func (c *followerCrowd) collect(after time.Duration) (sent int) {
+func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
@@ -59,7 +59,7 @@
 }
 
 // runUntil advances the clock to t and delivers acknowledgements when they are due.
-func (c *followerCrowd) runUntil(t time.Duration, after time.Duration) {
+func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
 	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		pending := c.unacked
@@ -71,7 +71,7 @@
 				c.unacked = append(c.unacked, ack)
 			}
 		}
-		c.collect(after)
+		c.takeMessages(after)
 	}
 }
 
@@ -80,9 +80,9 @@
 // 300 nodes, the nodes did no other work and served no requests for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers, oneZone)
-	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // no follower acknowledges
-	c = newFollowerCrowd(backends, followers, oneZone)
+	c := newUpstreamFixture(backends, followers, sameZone)
+	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.takeMessages(time.Hour)) // no follower acknowledges
+	c = newUpstreamFixture(backends, followers, sameZone)
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := range followers {
 		must.True(t, c.fullSyncs[Slot(s+1)])
@@ -94,7 +94,7 @@
 // node that was already busy.
 func TestLateAcksCauseFewResends(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers, oneZone)
+	c := newUpstreamFixture(backends, followers, sameZone)
 	sent := func() (n int) {
 		for _, x := range c.recordsSent {
 			n += x
@@ -112,8 +112,8 @@
 // TestLostFollowersEndTheirFullSyncs checks that a full sync ends when its follower is lost, and that the next queued one
 // then starts.
 func TestLostFollowersEndTheirFullSyncs(t *testing.T) {
-	c := newFollowerCrowd(1000, 2*maxFullSyncs, oneZone)
-	c.collect(time.Hour)
+	c := newUpstreamFixture(1000, 2*maxFullSyncs, sameZone)
+	c.takeMessages(time.Hour)
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range 2 * maxFullSyncs {
 		nodes = append(nodes, Node{Slot: Slot(s + 1), Live: s >= maxFullSyncs, Follows: s >= maxFullSyncs})
@@ -130,8 +130,8 @@
 // concerns, and none if there is nothing to send. When all peers were visited, a heartbeat cost three times as much with
 // 300 nodes as with 100.
 func TestIdlePeersAreNotVisited(t *testing.T) {
-	c := newFollowerCrowd(100, 50, oneZone)
-	c.collect(time.Hour)
+	c := newUpstreamFixture(100, 50, sameZone)
+	c.takeMessages(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
 	for range 20 {
 		pending := c.unacked
@@ -139,12 +139,12 @@
 		for _, ack := range pending {
 			c.registry.Receive(ack.to, Message{Acks: []uint64{ack.seq}})
 		}
-		c.collect(time.Hour)
+		c.takeMessages(time.Hour)
 	}
 	must.SliceEmpty(t, c.registry.activePeers)
 	must.True(t, c.registry.HasReadyBackend())
 	c.registry.Deregister("i-7") // The departure is sent to all followers.
-	c.collect(time.Hour)
+	c.takeMessages(time.Hour)
 	must.SliceLen(t, 50, c.registry.activePeers)
 	// All followers are removed.
 	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}})
@@ -159,7 +159,7 @@
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
-	c := newFollowerCrowd(backends, followers, zone)
+	c := newUpstreamFixture(backends, followers, zone)
 	inZone, sent := map[Slot]map[string]bool{}, map[Slot]map[string]bool{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -52,7 +52,7 @@
 
 // setOwner sets the owner of a backend, and the lost owner from which it was taken over (NoSlot if it was not).
 func (r *Registry) setOwner(e *entry, owner, lostOwner Slot) {
-	if e.record.Owner == r.localSlot && owner != r.localSlot && r.unreachable(owner) {
+	if e.record.Owner == r.localSlot && owner != r.localSlot && r.isUnreachable(owner) {
 		// Another node reaches an owner that this node does not reach. The hold-off prevents the two nodes from taking the
 		// backend from each other forever.
 		e.noTakeoverUntil = r.now + takeoverHoldoffHeartbeats*r.config.HeartbeatInterval
@@ -74,8 +74,8 @@
 	}
 }
 
-// expire times out a backend.
-func (r *Registry) expire(e *entry) {
+// timeOutBackend times out a backend.
+func (r *Registry) timeOutBackend(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
 	r.enqueueAddrChanges(e)
 }
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -40,7 +40,7 @@
 			}
 			undelivered = append(undelivered, departures...)
 		}
-		r.countNode(n)
+		r.updateNodeCounts(n)
 	}
 	r.preferDiskOwners()
 	r.dropPeersExcept(knownSlots)
@@ -55,7 +55,7 @@
 // live, has acquired a disk or has begun to follow this node. undelivered lists the backends whose departure the node may
 // not have received, if the node is lost.
 func (r *Registry) updatePeer(n Node) (needsSync bool, undelivered []string) {
-	p := r.peerFor(n.Slot)
+	p := r.findOrCreatePeer(n.Slot)
 	switch {
 	case n.Live && (!p.node.Live || n.HasDisk && !p.node.HasDisk || n.Follows && !p.node.Follows):
 		needsSync = true
@@ -73,8 +73,8 @@
 	return needsSync, undelivered
 }
 
-// countNode updates the flags for nodes with a disk, and adds a live node with a control address to the owner candidates.
-func (r *Registry) countNode(n Node) {
+// updateNodeCounts updates the flags for nodes with a disk, and adds a live node with a control address to the owner candidates.
+func (r *Registry) updateNodeCounts(n Node) {
 	r.hasKnownDisk = r.hasKnownDisk || n.HasDisk
 	if !n.Live {
 		return
@@ -122,8 +122,8 @@
 	r.answerDecidedCalls()
 }
 
-// unreachable reports whether s is another node that is unknown or not live.
-func (r *Registry) unreachable(s Slot) bool {
+// isUnreachable reports whether s is another node that is unknown or not live.
+func (r *Registry) isUnreachable(s Slot) bool {
 	if s == r.localSlot {
 		return false
 	}
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -55,10 +55,10 @@
 // handleHeartbeat processes a heartbeat. direct is true if it came from the backend itself, and false if another node
 // relayed it.
 func (r *Registry) handleHeartbeat(e *entry, heartbeat Record, direct bool) {
-	before, departureBefore := e.record, e.departure()
+	before, departureBefore := e.record, e.departureState()
 	revived := r.merge(e, heartbeat)
 	// The node that relayed the heartbeat may have sent the departure to no other node.
-	departureAdvanced := e.departure() > departureBefore
+	departureAdvanced := e.departureState() > departureBefore
 	if e.record.Seq > before.Seq {
 		e.lastHeartbeatAt, e.directHeartbeat = r.now, direct
 	} else if e.record.Owner != NoSlot && !direct && !departureAdvanced {
@@ -72,7 +72,7 @@
 	changed := becomesOwner || revived || e.record.differsFrom(&before)
 	isOwner := owner.Slot == r.localSlot || e.record.Owner == r.localSlot
 	if changed && isOwner || departureAdvanced {
-		r.broadcast(e, departureAdvanced || revived)
+		r.broadcastRecord(e, departureAdvanced || revived)
 	}
 	if direct && !e.record.Deregistered {
 		r.relayToOwners(e, owner.Slot)
@@ -85,7 +85,7 @@
 	if owner != NoSlot && owner != r.localSlot {
 		r.relayHeartbeat(e, owner)
 	}
-	if known := e.record.Owner; known != owner && known != r.localSlot && !r.unreachable(known) {
+	if known := e.record.Owner; known != owner && known != r.localSlot && !r.isUnreachable(known) {
 		r.relayHeartbeat(e, known)
 	}
 }
@@ -129,16 +129,16 @@
 func (r *Registry) checkTimeout(e *entry) {
 	timeout := missedHeartbeats * r.config.HeartbeatInterval
 	mayTimeOut := e.directHeartbeat || r.reachesMajority()
-	if r.displaced(e) || mayTimeOut && r.now-max(e.lastSeenAt, r.timeoutFloor) >= timeout {
-		r.expire(e)
-		r.broadcast(e, true)
+	if r.isDisplaced(e) || mayTimeOut && r.now-max(e.lastSeenAt, r.timeoutFloor) >= timeout {
+		r.timeOutBackend(e)
+		r.broadcastRecord(e, true)
 	}
 }
 
 // checkOwner takes over a backend whose owner is lost, if this node is next in hashing order. A node that reaches no
 // majority takes over nothing, because the owner may be live on the other side of a partition.
 func (r *Registry) checkOwner(e *entry) {
-	if !r.unreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
+	if !r.isUnreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 		return
 	}
 	lostAt := max(e.ownerSince, r.timeoutFloor)
@@ -153,7 +153,7 @@
 	next := r.ownerFor(e, NoSlot).Slot
 	if next == r.localSlot {
 		r.takeOwnership(e, e.record.Owner)
-		r.broadcast(e, false)
+		r.broadcastRecord(e, false)
 	} else if p := r.peers[next]; p != nil && lostFor >= grace+r.config.HeartbeatInterval {
 		// The next owner may not know the backend.
 		r.enqueueUpdate(p, e.record.ID, false)
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -55,15 +55,15 @@
 	seq uint64
 	ids []string
 	// Departures by index of ids. An acknowledgement proves that the receiver has these.
-	departures []departure
+	departures []departureState
 	suspicions []string
 	fullSync   bool
 	sentAt     time.Duration
 	attempts   int
 }
 
-// peerFor returns the peer with slot s, and creates it if there is none.
-func (r *Registry) peerFor(s Slot) *peer {
+// findOrCreatePeer returns the peer with slot s, and creates it if there is none.
+func (r *Registry) findOrCreatePeer(s Slot) *peer {
 	p := r.peers[s]
 	if p == nil {
 		p = &peer{node: Node{Slot: s}, seq: uint64(r.config.Incarnation) << 32, pendingSet: map[string]bool{}, lostAt: r.now}
@@ -105,18 +105,18 @@
 		if p == nil {
 			return true
 		}
-		p.active = !p.idle()
+		p.active = !p.isIdle()
 		return !p.active
 	})
 }
 
-// idle reports whether the peer has nothing to be sent and has acknowledged all messages.
-func (p *peer) idle() bool {
+// isIdle reports whether the peer has nothing to be sent and has acknowledged all messages.
+func (p *peer) isIdle() bool {
 	return !p.fullSyncNext && len(p.pendingIDs)+len(p.inFlight)+len(p.retransmits)+len(p.suspicions)+len(p.heartbeats)+len(p.acks) == 0
 }
 
-// nextDeadline returns the next time at which the peer must be checked.
-func (p *peer) nextDeadline() time.Duration {
+// nextCheckAt returns the next time at which the peer must be checked.
+func (p *peer) nextCheckAt() time.Duration {
 	at := never
 	for _, f := range p.inFlight {
 		at = min(at, f.sentAt+p.ackTimeout(f))
@@ -179,8 +179,8 @@
 	}
 }
 
-// hasInFlight reports whether a message in flight to the peer carries the departure d of a backend, or a later one.
-func (p *peer) hasInFlight(id string, d departure) bool {
+// hasDepartureInFlight reports whether a message in flight to the peer carries the departure d of a backend, or a later one.
+func (p *peer) hasDepartureInFlight(id string, d departureState) bool {
 	for _, f := range p.inFlight {
 		if i := slices.Index(f.ids, id); i >= 0 && f.departures[i] >= d {
 			return true
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// displaced reports whether another backend at the same address is not gone and was first seen more recently.
-func (r *Registry) displaced(e *entry) bool {
+// isDisplaced reports whether another backend at the same address is not gone and was first seen more recently.
+func (r *Registry) isDisplaced(e *entry) bool {
 	for _, other := range r.byAddr[e.record.Addr] {
 		if other != e && other.phase() != Gone && (other.firstSeenAt > e.firstSeenAt ||
 			other.firstSeenAt == e.firstSeenAt && other.record.ID > e.record.ID) {
@@ -62,14 +62,14 @@
 // visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for one
 // whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
-	if e.record.Service == "" || r.displaced(e) {
+	if e.record.Service == "" || r.isDisplaced(e) {
 		return Gone
 	}
 	return e.phase()
 }
 
-// publish returns a Changed action if the backend differs from its last published state. It returns false otherwise.
-func (r *Registry) publish(e *entry) (Action, bool) {
+// publishIfChanged returns a Changed action if the backend differs from its last published state. It returns false otherwise.
+func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
 	record := r.recordOf(e)
 	record.Phase = r.visiblePhase(e)
 	unchanged := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -9,12 +9,12 @@
 		if from < 0 || from == r.localSlot {
 			return
 		}
-		p = r.peerFor(from)
+		p = r.findOrCreatePeer(from)
 	}
 	if p.unresponsive && p.node.Live {
 		r.SyncPeer(from)
 	}
-	r.trackFullSync(from, &m)
+	r.trackReceivedFullSync(from, &m)
 	for _, seq := range m.Acks {
 		r.handleAck(p, seq)
 	}
@@ -23,7 +23,7 @@
 	}
 	r.forwardDepartures(&m)
 	for _, heartbeat := range m.Heartbeats {
-		if e := r.entryFor(heartbeat.ID); e != nil {
+		if e := r.findOrCreateEntry(heartbeat.ID); e != nil {
 			r.handleHeartbeat(e, heartbeat, false)
 		}
 	}
@@ -41,7 +41,7 @@
 type priorState struct {
 	record         Record
 	phase          Phase
-	departure      departure
+	departure      departureState
 	slowStartUntil time.Duration
 	suspected      bool
 	// True if this node owned the backend and it was not gone.
@@ -50,20 +50,20 @@
 	recentHeartbeat bool
 }
 
-// priorState returns the state of a backend before an update.
-func (r *Registry) priorState(e *entry) priorState {
-	return priorState{record: e.record, phase: e.phase(), departure: e.departure(), slowStartUntil: e.slowStartUntil, suspected: e.suspected,
+// capturePriorState returns the state of a backend before an update.
+func (r *Registry) capturePriorState(e *entry) priorState {
+	return priorState{record: e.record, phase: e.phase(), departure: e.departureState(), slowStartUntil: e.slowStartUntil, suspected: e.suspected,
 		owned:           e.record.Owner == r.localSlot && e.phase() != Gone,
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
 // handleUpdate merges a record, forwards what changed, and corrects the sender if this node has newer information.
 func (r *Registry) handleUpdate(p *peer, update Record) {
-	e := r.entryFor(update.ID)
+	e := r.findOrCreateEntry(update.ID)
 	if e == nil {
 		return
 	}
-	before := r.priorState(e)
+	before := r.capturePriorState(e)
 	r.merge(e, update)
 	if p.node.Slot == r.syncSource {
 		e.syncedAt = r.now
@@ -74,7 +74,7 @@
 	}
 	// A sender that reports a departure has it, provided that it has acknowledged a message in its present incarnation.
 	// A late message of a former incarnation does not prove a copy.
-	if d := update.departure(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
+	if d := update.departureState(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
 		e.recordNotified(p.node.Slot, d)
 	}
 	if r.reclaimOwnership(e, p, &update, &before) {
@@ -88,14 +88,14 @@
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
 	// If only this node suspected the backend, the owner's time-out changes nothing here, but the other nodes do not know
 	// of the time-out yet.
-	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
+	urgent := e.phase() != before.phase || e.departureState() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
 	case e.record.Owner == r.localSlot && (before.record.Owner != r.localSlot || changed):
 		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be its origin.
-		r.broadcast(e, urgent)
+		r.broadcastRecord(e, urgent)
 	case r.local.HasDisk && (changed || e.slowStartUntil != before.slowStartUntil):
-		r.forward(e, from, urgent)
+		r.forwardRecord(e, from, urgent)
 	}
 	isNew := before.record.Service == "" && e.phase() != Gone
 	if owner := r.peers[e.record.Owner]; r.local.HasDisk && isNew && owner != nil && owner != from && owner.node.Live {
@@ -113,7 +113,7 @@
 	}
 	if update.LostOwner == r.localSlot && before.owned && before.recentHeartbeat {
 		r.takeOwnership(e, NoSlot)
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 		return true
 	}
 	if lost := r.peers[update.LostOwner]; update.LostOwner != from.node.Slot && lost != nil && lost.node.Live {
@@ -128,14 +128,14 @@
 	known := r.recordOf(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
 		// Other nodes may also have applied the time-out.
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 		return
 	}
 	staleOwner := update.Owner != known.Owner &&
 		(update.FencingToken < known.FencingToken || update.FencingToken == known.FencingToken && update.Owner < known.Owner)
 	// An owner that missed the last heartbeat would measure the time-out from an earlier one.
 	missedHeartbeat := update.Seq < known.Seq && known.Phase != Gone && from.node.Slot == known.Owner
-	if (update.Phase != known.Phase || update.departure() != known.departure() || staleOwner || missedHeartbeat) && from.node.Live {
+	if (update.Phase != known.Phase || update.departureState() != known.departureState() || staleOwner || missedHeartbeat) && from.node.Live {
 		r.enqueueUpdate(from, e.record.ID, true)
 	}
 }
@@ -143,17 +143,17 @@
 // handleSuspicion times out a backend because another backend answered at its address. If the backend still exists, its
 // next heartbeat revives it.
 func (r *Registry) handleSuspicion(p *peer, suspicion Record) {
-	e := r.entryFor(suspicion.ID)
+	e := r.findOrCreateEntry(suspicion.ID)
 	if e == nil {
 		return
 	}
 	before := e.phase()
 	r.merge(e, suspicion)
 	if e.phase() != Gone {
-		r.expire(e)
+		r.timeOutBackend(e)
 	}
 	if before != Gone {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	} else {
 		r.enqueueUpdate(p, e.record.ID, true)
 	}
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -61,8 +61,8 @@
 		r.Capacity != other.Capacity || r.FencingToken != other.FencingToken || r.Owner != other.Owner
 }
 
-// departure returns how far the backend has departed according to the record.
-func (r *Record) departure() departure {
+// departureState returns how far the backend has departed according to the record.
+func (r *Record) departureState() departureState {
 	switch {
 	case r.Deregistered:
 		return departed
@@ -72,13 +72,13 @@
 	return notDeparting
 }
 
-// departure is how far a backend has departed. It never decreases.
-type departure uint8
+// departureState is how far a backend has departed. It never decreases.
+type departureState uint8
 
 const (
-	notDeparting departure = iota
-	draining               // no longer accepts requests
-	departed               // has deregistered
+	notDeparting departureState = iota
+	draining                    // no longer accepts requests
+	departed                    // has deregistered
 )
 
 // Message is a message between two nodes. A message whose Seq is 0 is not acknowledged.
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -111,7 +111,7 @@
 // returns an Acknowledge with the ticket that Heartbeat returned.
 func (r *Registry) Heartbeat(record Record) Ticket {
 	r.lastTicket++
-	e := r.entryFor(record.ID)
+	e := r.findOrCreateEntry(record.ID)
 	if e == nil {
 		return r.rejectCall()
 	}
@@ -122,7 +122,7 @@
 		requested = draining
 	}
 	r.handleHeartbeat(e, record, true)
-	r.trackCall(e, requested)
+	r.answerOrStoreCall(e, requested)
 	return r.lastTicket
 }
 
@@ -130,16 +130,16 @@
 // that Deregister returned.
 func (r *Registry) Deregister(id string) Ticket {
 	r.lastTicket++
-	e := r.entryFor(id)
+	e := r.findOrCreateEntry(id)
 	if e == nil {
 		return r.rejectCall()
 	}
-	before := e.departure()
+	before := e.departureState()
 	r.merge(e, Record{ID: id, Phase: Gone, Deregistered: true, Owner: NoSlot, LostOwner: NoSlot})
 	if before != departed {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	}
-	r.trackCall(e, departed)
+	r.answerOrStoreCall(e, departed)
 	return r.lastTicket
 }
 
@@ -149,7 +149,7 @@
 // answers the request with HTTP 421.
 func (r *Registry) Restore(records []Record) {
 	for _, record := range records {
-		if e := r.entryFor(record.ID); e != nil && record.Phase != Gone {
+		if e := r.findOrCreateEntry(record.ID); e != nil && record.Phase != Gone {
 			record.SlowStartLeft = 0 // The age of the stored record is unknown.
 			r.merge(e, record)
 		}
@@ -163,9 +163,9 @@
 	if e == nil || e.phase() == Gone {
 		return
 	}
-	r.expire(e)
+	r.timeOutBackend(e)
 	if e.record.Owner == r.localSlot {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	} else {
 		e.suspected = true
 		r.reportSuspicion(e)
@@ -185,7 +185,7 @@
 		e := r.changedEntries[0]
 		r.changedEntries = r.changedEntries[1:]
 		e.changeQueued = false
-		if a, ok := r.publish(e); ok {
+		if a, ok := r.publishIfChanged(e); ok {
 			return a, true
 		}
 	}
@@ -213,10 +213,10 @@
 		at = r.nextScanAt
 	}
 	for _, c := range r.pendingCalls {
-		at = min(at, c.deadline(r.now))
+		at = min(at, c.nextCheckAt(r.now))
 	}
 	for _, s := range r.activePeers {
-		at = min(at, r.peers[s].nextDeadline())
+		at = min(at, r.peers[s].nextCheckAt())
 	}
 	return at
 }
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -33,14 +33,14 @@
 	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
 	for s := range Slot(n) {
-		f.start(s)
+		f.startNode(s)
 	}
 	f.updateNodes()
 	return f
 }
 
-// start starts a node with an empty registry.
-func (f *fleet) start(s Slot) {
+// startNode starts a node with an empty registry.
+func (f *fleet) startNode(s Slot) {
 	minCopies := 2
 	// The loss of the only node with a disk is not tolerated.
 	if f.disks == 1 {
@@ -118,9 +118,9 @@
 	target Slot
 }
 
-// heartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
+// sendHeartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
 // answered yet.
-func (f *fleet) heartbeat(b *backend, at Slot) Acknowledge {
+func (f *fleet) sendHeartbeat(b *backend, at Slot) Acknowledge {
 	b.Seq++
 	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
@@ -158,8 +158,8 @@
 	return records
 }
 
-// permutations calls f with every order of the numbers below n.
-func permutations(n int, f func([]int)) {
+// forEachPermutation calls f with every order of the numbers below n.
+func forEachPermutation(n int, f func([]int)) {
 	var permute func(head, rest []int)
 	permute = func(head, rest []int) {
 		if len(rest) == 0 {
@@ -209,7 +209,7 @@
 	} {
 		var first map[string]Record
 		var firstBackends []Record
-		permutations(len(updates), func(order []int) {
+		forEachPermutation(len(updates), func(order []int) {
 			registry := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
 			for _, i := range append(order, order[0]) {
 				registry.Receive(Slot(updates[i].Owner+1), Message{Updates: updates[i : i+1]})
@@ -227,7 +227,7 @@
 // between the nodes during the calls. All nodes must have the same state afterwards.
 func TestCallsConvergeInAnyOrder(t *testing.T) {
 	for _, partitioned := range []bool{false, true} {
-		permutations(4, func(order []int) {
+		forEachPermutation(4, func(order []int) {
 			f := newFleet(t, 3, 0)
 			if partitioned {
 				for _, p := range [][2]Slot{{0, 1}, {1, 0}, {0, 2}, {2, 0}} {
@@ -269,7 +269,7 @@
 	var backends []*backend
 	for i := range 20 {
 		backends = append(backends, newBackend(i))
-		must.True(t, f.heartbeat(backends[i], 0).Confirmed)
+		must.True(t, f.sendHeartbeat(backends[i], 0).Confirmed)
 	}
 	f.advance(200 * ms)
 	for _, b := range backends {
@@ -279,14 +279,14 @@
 	ownedByNode := map[Slot]int{}
 	for _, b := range backends {
 		ownedByNode[b.target]++
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, b.target)
 	}
 	must.MapLen(t, 4, ownedByNode)
 	f.advance(200 * ms)
 	f.messages = 0
 	for range 8 {
 		for _, b := range backends {
-			must.True(t, f.heartbeat(b, b.target).Confirmed)
+			must.True(t, f.sendHeartbeat(b, b.target).Confirmed)
 		}
 		f.advance(heartbeatInterval)
 	}
@@ -296,7 +296,7 @@
 	for _, b := range backends {
 		f.requirePhase(b.ID, Gone)
 	}
-	f.heartbeat(backends[3], 2)
+	f.sendHeartbeat(backends[3], 2)
 	f.advance(100 * ms)
 	f.requirePhase(backends[3].ID, Ready)
 }
@@ -305,10 +305,10 @@
 func TestDrainIsConfirmedByCopies(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.advance(time.Second)
 	b.Phase = Draining
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 	f.requirePhase(b.ID, Draining)
 	must.Eq(t, 0, f.registries[0].Status().PendingCalls)
 
@@ -316,9 +316,9 @@
 	dropMessagesTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
 	dropMessagesTo(3)
 	b = newBackend(2)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	b.Phase = Draining
-	must.False(t, f.heartbeat(b, 0).Confirmed)
+	must.False(t, f.sendHeartbeat(b, 0).Confirmed)
 	ticket := f.registries[0].lastTicket
 	f.advance(400 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
@@ -350,11 +350,11 @@
 	}
 	f.updateNodes()
 	b = newBackend(3)
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 	b.Phase = Draining
-	must.False(t, f.heartbeat(b, 0).Confirmed)
+	must.False(t, f.sendHeartbeat(b, 0).Confirmed)
 	f = newFleet(t, 1, 0)
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 }
 
 // TestLossOfOwnerKeepsItsBackends checks that the backends of a lost owner stay ready and get a new owner. A backend that
@@ -364,8 +364,8 @@
 	var backends []*backend
 	for i := range 30 {
 		backends = append(backends, newBackend(i))
-		f.heartbeat(backends[i], 0)
-		f.heartbeat(backends[i], backends[i].target)
+		f.sendHeartbeat(backends[i], 0)
+		f.sendHeartbeat(backends[i], backends[i].target)
 	}
 	f.advance(time.Second)
 	lostOwner := backends[0].target
@@ -387,14 +387,14 @@
 	next := (lostOwner + 1) % 4
 	for i := range 7 {
 		for _, b := range others {
-			f.heartbeat(b, b.target)
+			f.sendHeartbeat(b, b.target)
 		}
 		for _, b := range orphans {
 			if i == 0 || b.target == lostOwner {
 				// The heartbeat to the lost owner failed, and the backend turns to the next node.
-				f.heartbeat(b, next)
+				f.sendHeartbeat(b, next)
 			} else {
-				f.heartbeat(b, b.target)
+				f.sendHeartbeat(b, b.target)
 			}
 		}
 		if i == 1 {
@@ -413,7 +413,7 @@
 		must.Eq(t, b.target, f.registries[next].entries[b.ID].record.Owner)
 	}
 	// The owner restarts with an empty registry. It is sent all records, including departures.
-	f.start(lostOwner)
+	f.startNode(lostOwner)
 	f.updateNodes()
 	f.advance(time.Second)
 	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[lostOwner]))
@@ -427,7 +427,7 @@
 	var backends []*backend
 	for i := range 20 {
 		backends = append(backends, newBackend(i))
-		f.heartbeat(backends[i], 1)
+		f.sendHeartbeat(backends[i], 1)
 	}
 	f.advance(100 * ms)
 	for o := range Slot(4) {
@@ -441,7 +441,7 @@
 				// The zone of the backend no longer reaches node 0.
 				at = 2
 			}
-			f.heartbeat(b, at)
+			f.sendHeartbeat(b, at)
 		}
 		f.advance(heartbeatInterval)
 	}
@@ -459,8 +459,8 @@
 func TestStallRestartsTimeouts(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
-	f.heartbeat(b, b.target)
+	f.sendHeartbeat(b, 0)
+	f.sendHeartbeat(b, b.target)
 	registry := f.registries[b.target]
 	registry.Tick(f.now + 20*time.Second)
 	f.deliverAll()
@@ -484,18 +484,18 @@
 func TestReusedAddressShowsYoungestBackend(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	old := newBackend(1)
-	f.heartbeat(old, 0)
+	f.sendHeartbeat(old, 0)
 	f.advance(2 * time.Second)
 	young := newBackend(2)
 	young.Addr, young.Service = old.Addr, "other"
-	f.heartbeat(young, 1)
+	f.sendHeartbeat(young, 1)
 	f.advance(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	must.SliceLen(t, 1, f.registries[2].Backends())
 	// A late call of the old backend has no lasting effect. The departure of the young backend does not revive the old one.
 	old.Seq += 5
-	f.heartbeat(old, 2)
+	f.sendHeartbeat(old, 2)
 	f.advance(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
@@ -510,11 +510,11 @@
 func TestTombstonesExpireAndAreBounded(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.registries[1].Deregister(b.ID)
 	f.deliverAll()
 	b.Seq = 7
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.requirePhase(b.ID, Gone)
 	f.advance(tombstoneTTL + time.Second)
 	must.Eq(t, Status{}, f.registries[0].Status())
@@ -540,7 +540,7 @@
 		sendHeartbeats := func() {
 			for _, b := range backends {
 				for tries := 0; tries < n && !crashed[b.ID]; tries++ {
-					if f.live[b.target] && f.heartbeat(b, b.target).Confirmed {
+					if f.live[b.target] && f.sendHeartbeat(b, b.target).Confirmed {
 						break
 					}
 					b.target = Slot(rng.Intn(n))
@@ -548,7 +548,7 @@
 			}
 		}
 		restart := func(node Slot) {
-			f.start(node)
+			f.startNode(node)
 			for o, registry := range f.registries {
 				if o != node && f.live[o] {
 					registry.SyncPeer(node) // The node may have restarted before the others noticed its loss.
@@ -616,7 +616,7 @@
 	for _, n := range []int{12, 48, 96} {
 		f := newFleet(t, n, 3)
 		for i := range 60 {
-			f.heartbeat(newBackend(i), Slot(i%n))
+			f.sendHeartbeat(newBackend(i), Slot(i%n))
 		}
 		f.advance(time.Second)
 		for s := range Slot(n) {
@@ -626,13 +626,13 @@
 		for i := range 60 {
 			b := newBackend(i)
 			b.Seq, b.Phase = 9, Draining
-			must.True(t, f.heartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
+			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
 		}
 		// Each node receives an update and acknowledges it.
 		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes"))
 		f.advance(time.Second)
 		f.messages = 0
-		f.start(Slot(n - 1))
+		f.startNode(Slot(n - 1))
 		for s := range Slot(n - 1) {
 			f.registries[s].SyncPeer(Slot(n - 1))
 		}
@@ -651,14 +651,14 @@
 	f := newFleet(t, 3, 1)
 	alive, stopped := newBackend(1), newBackend(2)
 	for _, b := range []*backend{alive, stopped} {
-		f.heartbeat(b, 0)
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, 0)
+		f.sendHeartbeat(b, b.target)
 	}
 	f.advance(time.Second)
 	stored := f.registries[0].Backends()
 	must.Len(t, 2, stored)
 	for s := range Slot(3) {
-		f.start(s)
+		f.startNode(s)
 	}
 	f.registries[0].Restore(stored)
 	f.updateNodes()
@@ -666,13 +666,13 @@
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Ready)
 	for range 6 {
-		f.heartbeat(alive, alive.target)
+		f.sendHeartbeat(alive, alive.target)
 		f.advance(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Gone)
 
-	f.start(0)
+	f.startNode(0)
 	f.registries[0].Deregister(alive.ID)
 	f.registries[0].Restore(stored)
 	f.deliverAll()
@@ -687,12 +687,12 @@
 	f := newFleet(t, 4, 1)
 	alive, stopped := newBackend(1), newBackend(2)
 	for _, b := range []*backend{alive, stopped} {
-		f.heartbeat(b, 3)
+		f.sendHeartbeat(b, 3)
 		must.Eq(t, Slot(0), b.target) // Nodes with a disk own backends.
-		f.heartbeat(b, 0)
+		f.sendHeartbeat(b, 0)
 	}
 	f.advance(time.Second)
-	f.start(0)
+	f.startNode(0)
 	for s := range Slot(3) {
 		f.registries[s+1].SyncPeer(0)
 	}
@@ -702,7 +702,7 @@
 	must.Len(t, 2, f.registries[0].Backends())
 	must.Len(t, 2, f.registries[2].Backends())
 	for range 6 {
-		f.heartbeat(alive, 0)
+		f.sendHeartbeat(alive, 0)
 		f.advance(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
@@ -720,7 +720,7 @@
 			registry.config.TestingKnobs = knobs
 		}
 		b := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
-		f.heartbeat(b, 0)
+		f.sendHeartbeat(b, 0)
 		late := b.Record
 		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, b.Seq+1, NoSlot, NoSlot
 		// The link to the new incarnation is up. A message of the former incarnation has not been read yet.
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -30,7 +30,7 @@
 		}
 		if e.record.Owner == r.localSlot {
 			s.Owned++
-		} else if r.unreachable(e.record.Owner) {
+		} else if r.isUnreachable(e.record.Owner) {
 			s.OwnerLost++
 		}
 	}
