--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -7,7 +7,7 @@
 	"clovergap/internal/invariant"
 )
 
-// queueAccessUpdate marks a service for the next updateAccess. It does nothing if the service is already marked.
+// queueAccessUpdate queues a service for the next updateAccess. It does nothing if the service is already queued.
 func (n *Node) queueAccessUpdate(svc *service) {
 	if !svc.changed {
 		svc.changed = true
@@ -15,7 +15,7 @@
 	}
 }
 
-// updateAccess recomputes the access of the backends of every marked service and pushes a SetAccess action for each change.
+// updateAccess recomputes the access of the backends of every queued service and pushes a SetAccess action for each change.
 func (n *Node) updateAccess() {
 	for _, svc := range n.changed {
 		svc.changed = false
@@ -33,8 +33,8 @@
 	return Open
 }
 
-// updatePatientAccess sets to which of a service's backends this node may send patient requests. If fewer backends than Settings.requiredInService requires
-// would be open, it also opens the least unhealthy ejected backends until the required number is open.
+// updatePatientAccess sets this node's access to each backend of a service for patient requests. If the ejections leave fewer backends open
+// than Settings.requiredInService, the least unhealthy ejected backends are opened until that number is reached.
 func (n *Node) updatePatientAccess(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
@@ -66,9 +66,9 @@
 	}
 }
 
-// updateStrictAccess sets to which of a service's backends this node may send strict requests. It keeps no minimum number of backends open, because
-// rejecting a write is better than losing the write. While no backend of the service is available, it pushes a NoneAvailable action every
-// noneAvailableInterval.
+// updateStrictAccess sets this node's access to each backend of a service for strict requests. It keeps no minimum number of backends open,
+// because rejecting a write is better than losing the write. While no backend of the service is available, it pushes a NoneAvailable action
+// at each call that is at least noneAvailableInterval after the previous action.
 func (n *Node) updateStrictAccess(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
@@ -90,8 +90,8 @@
 	}
 }
 
-// setAccess pushes a SetAccess action if the access of a key has changed. local reports whether this node itself closed the backend to its
-// requests, without an ejection by the coordinator.
+// setAccess stores the access of a key and pushes a SetAccess action if the access has changed. local is true if this node closed the backend
+// by a local ejection.
 func (n *Node) setAccess(state *keyState, access Access, local bool) {
 	if state.access == access && state.local == local {
 		return
--- a/internal/gateway/outlier/backend.go
+++ b/internal/gateway/outlier/backend.go
@@ -44,7 +44,7 @@
 // Phase is the lifecycle phase of an instance, as recorded in the registry.
 type Phase uint8
 
-// The phases of a backend. A backend receives new requests only while it is Ready.
+// A Ready backend receives new requests. A Draining backend only finishes its current requests. A Gone backend has ended.
 const (
 	Ready Phase = iota
 	Draining
@@ -57,17 +57,17 @@
 	Service string
 	Zone    string
 	Phase   Phase
-	// Reports whether this node owns the registration. The owner probes the backend.
+	// True if this node is the backend's owner in the registry. Only the owner probes the backend.
 	Owned bool
 }
 
 // Access limits the requests that a node may send to a backend in a mode.
 type Access uint8
 
-// The levels of access.
+// Open sets no limit. Limited permits one request at a time, with a minimum interval between two requests (SetAccess.Interval). Closed permits
+// no request.
 const (
 	Open Access = iota
-	// One request at a time, with an interval between requests.
 	Limited
 	Closed
 )
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -11,14 +11,15 @@
 const (
 	// retryInterval is the interval after which the coordinator repeats a report request, or a proposal of an entry that was not applied
 	// from the log.
-	retryInterval   = time.Second
+	retryInterval = time.Second
+	// maxObservedKeys limits the keys for which the coordinator stores evidence.
 	maxObservedKeys = 4096
-	// The author of the coordinator's entries in histories.
+	// coordinatorName is the author of the coordinator's entries in the history.
 	coordinatorName = "duty"
 )
 
-// Coordinator runs on the core's leader and decides on ejections for all nodes. Another coordinator with a higher fencing token may replace
-// it at any time, because the nodes repeat their reports within two seconds.
+// Coordinator runs on the core's leader and decides on ejections for all nodes. A new coordinator with a higher fencing token may replace an
+// old one at any time. The new one starts without evidence and receives all current evidence within reportInterval.
 type Coordinator struct {
 	actionQueue
 	now              time.Duration
@@ -29,23 +30,23 @@
 	backends         map[InstanceID]Backend
 	evidence         map[Key]*keyEvidence
 	recoveries       map[Key]*recovery
-	forgetProposedAt time.Duration
-	// Keys for the next report request to all nodes.
+	forgetProposedAt time.Duration // The time of the last proposal of a Forget entry.
+	// The keys for the next report request to all nodes.
 	requestKeys []Key
 }
 
 // keyEvidence holds what all nodes have reported on a key.
 type keyEvidence struct {
 	byWitness map[Slot]*receivedObservation
-	// Reports whether observations arrived since the last evaluation.
+	// True if the key must be evaluated at the next Tick.
 	changed     bool
-	requestedAt time.Duration
-	proposedAt  time.Duration
-	// By witness.
+	requestedAt time.Duration // The time of the last report request for the key.
+	proposedAt  time.Duration // The time of the last proposal of an ejection of the key.
+	// The newest confirmed loss of each witness.
 	losses map[Slot]confirmedLoss
 }
 
-// confirmedLoss is the newest partial evidence of a witness that the observations of other nodes confirm.
+// confirmedLoss is a lost answer that was confirmed (keyEvidence.confirmsLoss), or a connection reset.
 type confirmedLoss struct {
 	revision   uint64
 	observedAt time.Duration
@@ -70,8 +71,8 @@
 // SetNodeCount sets the number of live nodes.
 func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = max(n, 1) }
 
-// ApplyState sets the state after entry e was applied, or after a snapshot was restored if e is nil. The host must change the state only in
-// the turn in which it calls ApplyState.
+// ApplyState sets the state. e is the entry that was just applied, or nil if a snapshot was restored. The coordinator keeps a reference to the
+// state. The host must therefore call ApplyState immediately after each change of the state.
 func (c *Coordinator) ApplyState(s *State, e *Entry) {
 	c.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
@@ -123,7 +124,7 @@
 	}
 }
 
-// Tick sets the clock, evaluates keys with new observations, requests reports and advances the recovery of ejections.
+// Tick sets the clock, evaluates keys with new observations, requests reports, and proposes recovery steps and a Forget entry.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	if !c.state.Enabled() {
@@ -150,7 +151,7 @@
 	c.proposeForgetGone()
 }
 
-// hasFreshEvidence reports whether any observation of a key is at most evidenceTTL old.
+// hasFreshEvidence reports whether any observation of a key was received at most evidenceTTL ago.
 func (c *Coordinator) hasFreshEvidence(evidence *keyEvidence) bool {
 	for _, o := range evidence.byWitness {
 		if c.now-o.receivedAt <= evidenceTTL {
@@ -160,8 +161,8 @@
 	return false
 }
 
-// propose pushes a proposal of an entry and reports whether the state would accept the entry now. The same entry is proposed again after
-// retryInterval, until it is applied. proposedAt is the time of the last proposal, and propose updates it.
+// propose proposes an entry if the state would accept the entry now, and reports whether the state would accept it. An entry that was proposed
+// less than retryInterval ago is not proposed again. proposedAt points to the time of the last proposal and is updated.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
 	if result, _ := c.state.Decide(&e); result != routing.Accepted {
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -14,14 +14,13 @@
 // ErrTextTooLong is returned for an entry that has a text field of more than maxTextBytes.
 var ErrTextTooLong = errors.Errorf("text field of the entry is longer than %d bytes", maxTextBytes)
 
-// conflictResult returns routing.Conflict and a field error. It is the result for an entry that was built on a different state than the current
-// one.
+// conflictResult returns routing.Conflict and a field error. This is the result for an entry that does not fit the current state.
 func conflictResult(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
 // Decide returns the result that Apply would return for an entry now. It does not change the state. The error says why an entry is not
-// accepted. It is a logentry.FieldError or ErrTextTooLong, and nil for an accepted or a duplicate entry.
+// accepted. The error is a logentry.FieldError or ErrTextTooLong. It is nil for an accepted or a duplicate entry.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Duplicate, nil
@@ -39,19 +38,19 @@
 	byCoordinator := e.Verb != SetSettings && e.Verb != Clear
 	switch {
 	case byCoordinator != (e.FencingToken > 0):
-		return routing.Invalid, logentry.FieldErrorf("fence", "token %d does not fit the verb %s, because only the coordinator's entries carry one", e.FencingToken, e.Verb)
+		return routing.Invalid, logentry.FieldErrorf("fence", "fencing token %d with verb %s: entries of the coordinator need a token above 0, all others need 0", e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
-		return conflictResult("fence", "token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
+		return conflictResult("fence", "fencing token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
-			return routing.Invalid, logentry.FieldErrorf("gone", "lists no instance or too many instances")
+			return routing.Invalid, logentry.FieldErrorf("gone", "the list of gone instances is empty or longer than the limit")
 		}
 		return routing.Accepted, nil
 	case e.Revision != rev:
-		return conflictResult("rev", "revision %d is not the current revision %d", e.Revision, rev)
+		return conflictResult("rev", "entry has revision %d, the current revision is %d", e.Revision, rev)
 	case e.Verb == SetSettings:
 		if e.Settings == nil {
-			return routing.Invalid, logentry.FieldErrorf("settings", "is missing")
+			return routing.Invalid, logentry.FieldErrorf("settings", "the entry has no settings")
 		}
 		settings := *e.Settings
 		if err := settings.Normalize(); err != nil {
@@ -68,34 +67,34 @@
 		e.Verb == Readmit && ejection.Step != InService && ejection.Step.next(ejection.Mode) == InService:
 		return routing.Accepted, nil
 	case e.Verb == StepUp || e.Verb == Readmit:
-		return conflictResult("verb", "%s is not possible in step %s", e.Verb, ejection.Step)
+		return conflictResult("verb", "verb %s is not possible in recovery step %s", e.Verb, ejection.Step)
 	}
 	return routing.Invalid, logentry.FieldErrorf("verb", "unknown verb %q", e.Verb)
 }
 
-// decideEject returns the result for an Eject entry. ejection is the current ejection of the entry's key, nil if there is none.
+// decideEject returns the result for an Eject entry. ejection is the current ejection of the entry's key, or nil if there is none.
 func (s *State) decideEject(e *Entry, ejection *Ejection) (routing.Result, error) {
 	switch {
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
-		return routing.Invalid, logentry.FieldErrorf("key", "does not name an instance and a mode of a service with ready backends")
+		return routing.Invalid, logentry.FieldErrorf("key", "an ejection needs an instance, a mode that can be ejected, a service and at least one ready backend")
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
-		return routing.Invalid, logentry.FieldErrorf("witnesses", "lists no node or too many nodes")
+		return routing.Invalid, logentry.FieldErrorf("witnesses", "the list of witnesses is empty or longer than the limit")
 	case !s.Enabled():
 		return conflictResult("settings", "outlier detection is disabled")
 	case ejection != nil && ejection.Step == Ejected:
 		return conflictResult("key", "instance %s is already ejected in mode %s", e.Key.ID, e.Key.Mode)
 	case ejection == nil && len(s.snapshot.Ejections) >= maxEjections && s.oldestInServiceIndex() < 0:
-		return conflictResult("key", "all %d stored ejections are still in force", maxEjections)
+		return conflictResult("key", "the limit of %d stored ejections is reached, and none of these backends is back in service", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
-		return conflictResult("witnesses", "fewer than two trusted witnesses, and each sole witness is at its limit of ejections")
+		return conflictResult("witnesses", "the weights of the witnesses sum to less than 2, and no single witness may eject another backend")
 	}
 	return routing.Accepted, nil
 }
 
-// soleWitness returns the node on whose evidence alone an ejection rests, or NoSlot if the ejection rests on several nodes. Each refutation
-// halves the weight of a witness. ok is false if the witnesses do not suffice for an ejection. The limits on the ejections of a sole
-// witness bound the effect of a faulty node.
+// soleWitness returns the node on whose evidence alone an ejection rests, or NoSlot if the ejection rests on several nodes. ok is false if the
+// witnesses do not suffice for an ejection. Several nodes suffice if their weights sum to at least 2. A witness has the weight 1, and each
+// refutation halves the weight. A single node suffices up to Settings.soleWitnessLimits. These limits bound the effect of a faulty node.
 func (s *State) soleWitness(e *Entry) (sole Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
@@ -121,7 +120,8 @@
 	return membership.NoSlot, false
 }
 
-// refutationCount returns the number of refutations that still count against a witness. It halves every refutationHalvingPeriod revisions.
+// refutationCount returns the number of refutations that still count against a witness. The number halves every refutationHalvingPeriod
+// revisions of the state.
 func (s *State) refutationCount(w Slot) int {
 	for _, t := range s.snapshot.Trust {
 		if t.Witness == w {
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// oldestInServiceIndex returns the index of the ejection to drop when too many are stored. It is the oldest ejection whose backend is back in
-// service, or -1 if there is none.
+// oldestInServiceIndex returns the index of the ejection that changed least recently among the ejections whose backends are back in service.
+// It returns -1 if there is no such ejection. This ejection is dropped when too many ejections are stored.
 func (s *State) oldestInServiceIndex() int {
 	oldest := -1
 	for i := range s.snapshot.Ejections {
--- a/internal/gateway/outlier/ejection.go
+++ b/internal/gateway/outlier/ejection.go
@@ -1,10 +1,11 @@
 package outlier
 
-// Step is the stage of an ejection's recovery. The zero value is Ejected.
+// Step is the recovery step of an ejection. The zero value is Ejected.
 type Step uint8
 
-// A strict ejection recovers from Ejected through ReadsOnly and LimitedWrites to InService. A patient ejection recovers from Ejected through
-// ReadsOnly to InService.
+// The recovery steps, in order. A strict ejection takes all of them. In the step ReadsOnly it still permits no strict requests, and clean answers
+// to patient requests advance the recovery. A patient ejection leaves out LimitedWrites. In the step ReadsOnly it permits limited patient
+// requests.
 const (
 	Ejected Step = iota
 	ReadsOnly
@@ -14,7 +15,7 @@
 
 var stepNames = [...]string{"out", "reads", "writes", "free"}
 
-// String returns the step's name in histories.
+// String returns the step's name as the history and error messages show it.
 func (s Step) String() string { return stepNames[s] }
 
 // next returns the step that follows in the given mode. InService is the last step.
@@ -30,11 +31,11 @@
 	Key
 	Service string
 	Step    Step
-	// The revision of the last change of the ejection. Each change raises it.
+	// The state's revision at the last change of the ejection.
 	Rev uint64
-	// The number of ejections after the first one.
+	// The number of times that the key was ejected again after the first ejection, at most maxRepeats. Clear sets it to 0.
 	Repeats int
-	// The node on whose evidence alone the key is ejected. NoSlot if there are several such nodes or the backend is back in service.
+	// The node on whose evidence alone the key is ejected. NoSlot if the ejection rests on several nodes or the backend is back in service.
 	SoleWitness Slot
 	// The failure rate at the last ejection, in thousandths.
 	Score  int
@@ -52,7 +53,7 @@
 	return Closed
 }
 
-// HistoryEntry records the effect of one log entry.
+// HistoryEntry records one applied log entry. Step is the recovery step after the entry.
 type HistoryEntry struct {
 	Verb      Verb
 	Key       Key
@@ -66,8 +67,7 @@
 // Trust records the refutations of a witness.
 type Trust struct {
 	Witness Slot
-	// The number of refutations that counted against the witness at the time of its last refutation. Each refuted ejection rested on the evidence
-	// of this witness alone, and no other node confirmed the evidence.
+	// The number of refutations that counted against the witness immediately after its last refutation.
 	Refuted int
 	// The state's revision at the last refutation.
 	Rev uint64
--- a/internal/gateway/outlier/entry.go
+++ b/internal/gateway/outlier/entry.go
@@ -23,31 +23,31 @@
 	Forget Verb = "forget"
 )
 
-// Entry is an operator's command or a coordinator's decision in the replicated log. Revision names the revision that the entry was built on.
+// Entry is an operator's command or a coordinator's decision in the replicated log. An entry is rejected if its Revision is not the current one.
 // Of two concurrent entries only one is therefore accepted, and a delayed entry cannot change a newer revision.
 type Entry struct {
 	Verb Verb
 	// The ID of an operator's call, for deduplication. A repeated call returns routing.Duplicate. Empty: no deduplication.
 	CallID string
-	// Who made the entry, for the history.
+	// The operator that made the entry, or coordinatorName. It is shown in the history.
 	Author string
 	// The time in milliseconds since 1970, used in the history only.
 	UnixMilli int64
 	Reason    string
-	// The revision of the ejection, 0 if there is none. For SetSettings the revision of the settings.
+	// The revision of the key's ejection when the entry was made. 0 if there was no ejection. For SetSettings the revision of the settings.
 	Revision uint64
-	// The token of the coordinator, at least 1. It is 0 for an operator's entry.
+	// The fencing token of the coordinator, at least 1. It is 0 for an operator's entry.
 	FencingToken uint64
 
 	Key     Key
 	Service string
-	// Eject: the reporting nodes. Those whose evidence suffices alone come first.
+	// Eject: the nodes with evidence, at most maxNamedWitnesses. Nodes whose evidence suffices alone come first.
 	Witnesses []Slot
-	// Eject: the number of witnesses whose evidence suffices alone.
+	// Eject: the number of witnesses at the start of Witnesses whose evidence suffices alone.
 	Sufficient int
 	// Eject: the number of the service's ready backends.
 	ReadyBackends int
-	// Eject: the failure rate, in thousandths.
+	// Eject: the failure rate of the key over all nodes, in thousandths.
 	Score int
 	// Forget: the instances that are gone.
 	GoneInstances []InstanceID
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -19,39 +19,40 @@
 	ruleRate = "failing"
 )
 
-// Constants for the confirmation of a lost answer. Other answers from the backend during the attempt distinguish a lost answer from a late one.
+// Constants for the confirmation of a lost answer. If the backend gave fast answers to other requests during the attempt, the missing answer is
+// taken as lost and not as late.
 const (
-	// The time after which partial evidence is no longer confirmed. After this time no node has the window slots that cover the attempt any more.
+	// The age of partial evidence above which the evidence can no longer be confirmed. The reported window slots then no longer cover the attempt.
 	lossConfirmTimeout = 4 * time.Second
 	// The number of clean answers needed in the second half of the attempt's time-out.
 	minConfirmingAnswers = 2
-	// The mean latency of these answers is at most the attempt's time-out divided by this number.
+	// The mean latency of the confirming answers must be at most the attempt's time-out divided by this number.
 	confirmingLatencyDivisor = 6
 )
 
 // Constants for the comparison of failure rates.
 const (
-	// A window that was reported longer ago is not considered current.
+	// The age of a report above which the reported window is no longer current.
 	freshWindow = 2 * time.Second
-	// The number of failures, without those of the node with the most, that leads to a report request to all nodes.
+	// The number of failures of a key from which all nodes are asked for reports. The failures of the node with the most failures do not count.
 	minFailuresToRequest = 2
 	// The number of answers of the service's other backends that a comparison needs.
 	minServiceAnswers = 20
-	// The failure rate of a patient key is too high from this multiple of the other backends' rate.
+	// The limit for the failure rate of a patient key is this multiple of the other backends' failure rate, but at least patientMinRate.
 	patientRateFactor = 2
-	// The failure rate of a patient key is never too high below this rate.
+	// The lowest limit for the failure rate of a patient key.
 	patientMinRate = 0.5
-	// The failure rate of a strict key is too high from this multiple of the other backends' rate plus strictRateMargin.
+	// The limit for the failure rate of a strict key is this multiple of the other backends' failure rate, plus strictRateMargin.
 	strictRateFactor = 4
-	// The margin between the limit of a strict key and the multiple of the other backends' rate.
+	// The constant part of the limit for the failure rate of a strict key.
 	strictRateMargin = 0.05
 )
 
 // minFailures is the number of failures that an ejection by failure rate needs, by mode.
 var minFailures = [modeCount]uint32{5, 8}
 
-// halfQuorumDelay is the time after a report request from which the answers of half of the nodes suffice. Before that, three quarters of the
-// nodes must have answered.
+// halfQuorumDelay is the time after a report request from which the answers of half of the nodes suffice. Before this time, three quarters of
+// the nodes must have answered.
 const halfQuorumDelay = 500 * time.Millisecond
 
 // assessment combines the reports on a key that belong to the current revision of its ejection.
@@ -60,23 +61,24 @@
 	evidence *keyEvidence
 	backend  Backend
 	revision uint64
-	// Reports whether the key is ejected or in a recovery step.
+	// True if the key has an ejection whose backend is not back in service.
 	recovering bool
-	// The sole witness of the ejection. Its observations do not count during the recovery. NoSlot if there is none.
+	// The sole witness of the ejection during the recovery, or NoSlot. The observations of this node do not count.
 	excludedWitness Slot
 	// The nodes with conclusive evidence.
 	conclusive []Slot
-	// Reports whether one of the nodes with conclusive evidence doubts its own observations.
+	// True if at least one of the nodes with conclusive evidence doubts its own observations (Report.SelfDoubt).
 	selfDoubt bool
-	// All evidence that has not expired.
+	// The evidence of all included nodes that is not older than evidenceTTL.
 	items []Evidence
-	// The sum of the current windows of all nodes.
+	// The sum of the current windows of all included nodes.
 	total Window
-	// The window of the node with the most failures. Empty if there is only one node.
+	// The current window of the node with the most failures. Empty if there is only one node.
 	worst Window
 }
 
-// includes reports whether a node's observation counts in the assessment.
+// includes reports whether a node's observation counts in the assessment. It counts if it has the current revision and the node is not the
+// excluded witness.
 func (a *assessment) includes(from Slot, o *receivedObservation) bool {
 	return o.Rev == a.revision && from != a.excludedWitness
 }
@@ -115,7 +117,7 @@
 	return a
 }
 
-// isCurrent reports whether an observation is recent enough for its window to be considered current.
+// isCurrent reports whether an observation was received at most freshWindow ago, so that its window is current.
 func (c *Coordinator) isCurrent(o *receivedObservation) bool {
 	return c.now-o.receivedAt <= freshWindow
 }
@@ -137,7 +139,7 @@
 		return
 	}
 	sufficient := 0
-	if a.recovering { // Under limited access a single loss is enough.
+	if a.recovering { // The access is limited, so the loss of a single answer suffices for another ejection.
 		sufficient = len(losses)
 	}
 	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
@@ -156,8 +158,9 @@
 	}
 }
 
-// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. If lossesUsable is true, the witnesses of the losses are added to
-// the witnesses of the ejection. It returns false if there is no conclusive evidence or if the state would not accept the entry.
+// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. losses are the nodes that observed a lost answer. If
+// lossesUsable is true, these nodes are added to the witnesses of the ejection. The function returns false if there is no conclusive evidence
+// or if the state would not accept the entry.
 func (c *Coordinator) ejectOnConclusiveEvidence(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
@@ -174,8 +177,8 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// enoughNodesAnswered reports whether enough nodes have answered a report request on a key. If there is no current request, it queues one. While
-// answers are missing, it marks the key for another evaluation.
+// enoughNodesAnswered reports whether enough nodes have answered the current report request for a key. If the last request is older than
+// retryInterval, the function queues a new request. While answers are missing, the key is evaluated again at the next Tick.
 func (c *Coordinator) enoughNodesAnswered(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
@@ -195,8 +198,9 @@
 	return false
 }
 
-// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of that zone has recently observed an
-// answer or a failure of the backend. Witnesses in other zones alone do not suffice, because their links to the backend's zone may be faulty.
+// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of the backend's zone has
+// recently observed an answer or a failure of the backend. Otherwise witnesses in other zones alone do not suffice, because their links to the
+// backend's zone may be faulty.
 func (c *Coordinator) hasWitnessInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
@@ -208,9 +212,10 @@
 	return !zoneHasTraffic
 }
 
-// confirmsLoss reports whether an answer was lost and is not merely late. It requires that the backend gave at least minConfirmingAnswers other
-// answers in the second half of the attempt's time-out. These answers must have been fast, and they must not all have arrived at the same node.
-// If there is only one node, its answers suffice. at is the time when the attempt timed out, and nodes is the number of live nodes.
+// confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not merely late. The backend must have given
+// at least minConfirmingAnswers clean answers in the second half of the attempt's time-out. These answers must have been fast, and they must not
+// all have arrived at the same node. If there is only one node, the answers to this node suffice. at is the time when the attempt timed out, and
+// nodes is the number of live nodes.
 func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
@@ -231,8 +236,8 @@
 	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.minus(largest)))
 }
 
-// lossWitnesses returns the nodes whose partial evidence is confirmed by the observations on the backend. A connection reset needs no
-// confirmation. settled is false while a report request for the confirmation is not yet answered.
+// lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. settled is
+// false while a report request for the confirmation is not yet answered.
 func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, settled bool) {
 	settled = true
 	losses := a.evidence.losses
@@ -260,8 +265,8 @@
 	return witnesses, settled
 }
 
-// otherBackendWindows returns each node's window of the service's other backends. It leaves out backends whose own failure rate is
-// suspicious.
+// otherBackendWindows returns each node's window of the service's other backends. It leaves out backends whose failure rate is at least
+// suspectFailureRate, so that they do not raise the rate that the assessed backend is compared with.
 func (c *Coordinator) otherBackendWindows(a *assessment) map[Slot]Window {
 	byNode := map[Slot]Window{}
 	for from, o := range a.evidence.byWitness {
@@ -291,7 +296,8 @@
 	return byNode
 }
 
-// isUnhealthy reports whether a backend's failure rate is too high in comparison with that of the service's other backends.
+// isUnhealthy reports whether a backend's failure rate is too high. own is the backend's window, and others is the window of the service's other
+// backends. Too few failures or too few answers of the other backends allow no conclusion, and the result is then false.
 func isUnhealthy(mode Mode, own, others Window) bool {
 	limit := max(patientMinRate, patientRateFactor*others.failureRate())
 	if mode == Strict {
@@ -300,9 +306,8 @@
 	return others.attemptCount() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
 }
 
-// checkFailureRate reports whether a backend's failure rate is too high in comparison with that of the service's other backends. The rate must
-// remain too high when the observations of any one node are left out. witnesses are the nodes that observed failures. The node with the most
-// failures comes first.
+// checkFailureRate reports in exceeds whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
+// observations of any one node are left out. witnesses are the nodes that observed failures, with the most failures first.
 func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, exceeds bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
@@ -332,7 +337,8 @@
 	return witnesses, len(witnesses) > 0
 }
 
-// proposeEjection proposes an ejection. It returns false if the state would not accept the entry.
+// proposeEjection proposes an ejection. rule is the name of the rule that is met, and sufficient is the number of witnesses at the start of the
+// list whose evidence suffices alone. The function returns false if the state would not accept the entry.
 func (c *Coordinator) proposeEjection(a *assessment, rule string, witnesses []Slot, sufficient int) bool {
 	ready := 0
 	for _, b := range c.backends {
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -10,24 +10,24 @@
 // EvidenceKind classifies what a node observed of a backend.
 type EvidenceKind uint8
 
-// The kinds of evidence. There are no others. NoEvidence means that an outcome allows no conclusion about the backend. CleanAnswer is a complete
-// answer that the service itself gave.
+// NoEvidence means that the outcome of an attempt allows no conclusion about the backend. CleanAnswer is a complete answer of the service itself
+// without an error. All other kinds are failures.
 const (
 	NoEvidence EvidenceKind = iota
 	CleanAnswer
-	// A 5xx of the service itself, where the request may have run.
+	// A 5xx answer of the service itself. The request may have run.
 	ServerError
-	// The request was sent completely and no byte of an answer came within the time-out.
+	// No byte of an answer arrived within the time-out, although the request was sent completely.
 	LostAnswer
 	// The connection was reset while the request ran.
 	ConnectionReset
-	// A 2xx without the backend's seal, or bytes that are not an HTTP answer.
+	// A 2xx answer without the backend's seal, or bytes that are not an HTTP answer.
 	MalformedAnswer
 	// An answer to a request that was never sent on the connection on which the answer arrived.
 	StrayAnswer
 	// A second answer to a request that was already answered.
 	DuplicateAnswer
-	// A probe that another instance answered.
+	// An answer of another instance to a probe of this one.
 	WrongInstance
 	evidenceKindCount
 )
@@ -40,8 +40,8 @@
 // Weight determines the effect of evidence.
 type Weight uint8
 
-// Ignored evidence has no effect. ByRate evidence counts as a failure, and only the failure rate matters. Partial evidence may also be caused
-// by the network link. Conclusive evidence can only be caused by the backend.
+// Ignored evidence has no effect. ByRate evidence counts as a failure in the failure rate and has no other effect. Partial evidence may also be
+// caused by the network link. Conclusive evidence can only be caused by the backend.
 const (
 	Ignored Weight = iota
 	ByRate
@@ -49,10 +49,10 @@
 	Conclusive
 )
 
-// evidenceWeights is the only definition of the weight of each kind of evidence in each mode.
+// evidenceWeights holds the weight of each kind of evidence in the modes Strict and Patient.
 var evidenceWeights = [evidenceKindCount][modeCount]Weight{
 	ServerError: {ByRate, ByRate},
-	// The answer to a patient request may be merely late.
+	// An answer to a patient request that is missing at the time-out may only be late.
 	LostAnswer:      {Partial, Ignored},
 	ConnectionReset: {Partial, ByRate},
 	MalformedAnswer: {Conclusive, ByRate},
@@ -64,13 +64,13 @@
 // AttemptEnd describes how an attempt ended, as seen by a node.
 type AttemptEnd struct {
 	Ending control.Ending
-	// Reports whether the connection had not returned any answer before.
+	// True if the connection had not returned any answer before the attempt.
 	FreshConnection bool
-	// Reports whether a part of an answer arrived.
+	// True if at least a part of an answer arrived.
 	PartialAnswer bool
-	// Reports whether the answer was not HTTP, or was a 2xx without the backend's seal.
+	// True if the answer was not HTTP, or was a 2xx without the backend's seal.
 	Malformed bool
-	// Reports whether this node's process was stalled during the attempt.
+	// True if this node's process was stalled during the attempt.
 	NodeStalled bool
 }
 
@@ -95,19 +95,19 @@
 	return NoEvidence
 }
 
-// provesPathWorked reports whether the attempt shows that the network path to the backend and back worked.
-func (a AttemptEnd) provesPathWorked() bool {
+// provesPathWorks reports whether the attempt shows that the network path to the backend and back works.
+func (a AttemptEnd) provesPathWorks() bool {
 	return a.PartialAnswer || a.Malformed || a.Ending == control.Succeeded || a.Ending == control.Errored || a.Ending == control.Rejected
 }
 
 // Evidence is an item of conclusive or partial evidence.
 type Evidence struct {
 	Kind    EvidenceKind
-	Age     time.Duration // The age at the time of the report.
-	Timeout time.Duration // LostAnswer: the time-out of the attempt.
+	Age     time.Duration // The age of the evidence at the time of the report.
+	Timeout time.Duration // LostAnswer: the time-out of the attempt. Unused for other kinds.
 }
 
-// describeEvidence describes evidence for the reason of an ejection, with the number of items by kind.
+// describeEvidence returns a text for the reason of an ejection. It lists the number of items of each kind, then the failures in the window w.
 func describeEvidence(items []Evidence, w Window) string {
 	var counts [evidenceKindCount]int
 	for _, item := range items {
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -8,13 +8,13 @@
 
 // Intervals and bounds of a node's observations and reports.
 const (
-	// The delay before evidence counts that a network link may have caused.
+	// Evidence that a network link may have caused counts only after this delay.
 	linkEvidenceDelay = 500 * time.Millisecond
-	// The report interval for a report at the next Tick or at once.
+	// The value of keyState.reportWithin for a report that does not wait. 0 is not used for this, because it means that nothing is to be reported.
 	reportNow = 1 * time.Nanosecond
-	// New evidence on a key is reported when this time has passed since the last report on the key.
+	// The minimum time between the last report on a key and a report of new evidence on the key.
 	reportDelay = 200 * time.Millisecond
-	// Totals, and failures that count by rate, are reported when this time has passed since the last report on the key.
+	// The minimum time between the last report on a key and a report of totals or of failures that count by rate.
 	slowReportDelay = time.Second
 	// The report on a key is repeated at this interval while its evidence has not expired.
 	reportInterval = 2 * time.Second
@@ -26,18 +26,20 @@
 	noneAvailableInterval = 5 * time.Second
 	// The rate limit of a backend with limited access, for all nodes together.
 	limitedPerSecond = 10
-	// If at least this many other backends reset a connection within linkEvidenceDelay of a backend's reset, the reset is not attributed to the
-	// backend.
+	// A connection reset by a backend does not count as evidence if at least this many other backends reset a connection within linkEvidenceDelay
+	// of the reset. The cause is then assumed to be this node or a network link.
 	maxOtherResets = 2
 )
 
-// Constants of local ejections. A node ejects a backend locally before the coordinator has decided.
+// Constants of local ejections. In a local ejection a node closes a backend to its own requests before the coordinator has decided.
 const (
-	localEjectionTime = 10 * time.Second // Doubled with each repeated local ejection.
+	// The duration of the first local ejection of a key. The duration doubles with each repeated local ejection.
+	localEjectionTime = 10 * time.Second
+	// The maximum number of these doublings.
 	maxLocalDoublings = 3
 )
 
-// suspectFailureRate is the failure rate, by mode, from which a backend is suspected and a node reports on it.
+// suspectFailureRate is the failure rate, by mode, from which a node reports the failures of a backend and the coordinator examines the backend.
 var suspectFailureRate = [modeCount]float64{0.05, 0.3}
 
 // Node is the part that runs on every node. It observes backends, reports to the coordinator and sets each backend's access according to the
@@ -54,10 +56,10 @@
 	backends     map[InstanceID]*backend
 	services     map[string]*service  // By service name.
 	zonePaths    map[string]*zonePath // By zone.
-	active       map[Key]*keyState    // The keys that have pending work.
-	delayed      []delayedEvidence    // Evidence that is not counted yet.
+	active       map[Key]*keyState    // The keys that Tick must check.
+	delayed      []delayedEvidence    // Evidence that does not count yet, oldest first.
 	resets       []observedReset      // The recent connection resets.
-	changed      []*service           // The services whose access may have changed.
+	changed      []*service           // The services queued for updateAccess.
 }
 
 // backend is a node's state for a backend.
@@ -77,9 +79,9 @@
 	windows  [modeCount]slidingWindow
 	// The time until which this node doubts its own observations of the service.
 	doubtUntil time.Duration
-	// Reports whether the service is in Node.changed.
+	// True if the service is in Node.changed.
 	changed bool
-	// When NoneAvailable was last pushed. 0 while a backend accepts strict requests or the service has no ready backends.
+	// The time of the last NoneAvailable action. 0 while a backend accepts strict requests or the service has no ready backends.
 	noneAvailableAt time.Duration
 }
 
@@ -89,11 +91,11 @@
 		services: map[string]*service{}, zonePaths: map[string]*zonePath{}, active: map[Key]*keyState{}}
 }
 
-// SetNodeCount sets the number of nodes that share the backends.
+// SetNodeCount sets the number of nodes that send requests to the backends. They share the rate limit of a backend with limited access.
 func (n *Node) SetNodeCount(count int) { n.nodeCount = max(count, 1) }
 
-// ApplyState sets the state after entry e was applied, or after a snapshot was restored if e is nil. The host must change the state only in
-// the turn in which it calls ApplyState.
+// ApplyState sets the state. e is the entry that was just applied, or nil if a snapshot was restored. The node keeps a reference to the state.
+// The host must therefore call ApplyState immediately after each change of the state.
 func (n *Node) ApplyState(s *State, e *Entry) {
 	n.state = s
 	if e != nil && e.Verb != SetSettings && e.Verb != Forget {
@@ -115,7 +117,7 @@
 	n.updateAccess()
 }
 
-// applyEjectionRevision discards what was observed of a key if its ejection has a new revision, and marks the service for updateAccess.
+// applyEjectionRevision discards what was observed of a key if its ejection has a new revision, and queues the service for updateAccess.
 func (n *Node) applyEjectionRevision(instance *backend, m Mode) {
 	state := &instance.keys[m]
 	if rev := n.state.ejectionRevision(state.key); rev != state.revision {
@@ -157,7 +159,7 @@
 	} else if !ready && listed {
 		svc.backends = slices.Delete(svc.backends, at, at+1)
 	}
-	// A backend that is not ready gets no new requests. What is observed of it from now on says nothing about the service.
+	// A backend that is not ready gets no new requests. Later observations of the backend say nothing about the service.
 	if b.Phase != Ready {
 		n.removeBackend(instance)
 	}
@@ -181,7 +183,7 @@
 	return instance
 }
 
-// removeBackend stops the observation of a backend and opens its access. A backend that comes back starts with open access.
+// removeBackend stops the observation of a backend and sets its access to Open.
 func (n *Node) removeBackend(instance *backend) {
 	delete(n.backends, instance.ID)
 	for m := range instance.keys {
@@ -193,8 +195,8 @@
 	}
 }
 
-// ModeFor returns the mode of a route's requests. It is Unwatched if outlier detection is disabled. effectful reports whether the route's
-// requests have side effects.
+// ModeFor returns the mode of a route's requests, or Unwatched if outlier detection is disabled. effectful is true if the route's requests have
+// side effects.
 func (n *Node) ModeFor(route string, effectful bool) Mode {
 	if !n.state.Enabled() {
 		return Unwatched
@@ -205,8 +207,8 @@
 // Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
 func (n *Node) Revision(k Key) uint64 { return n.state.ejectionRevision(k) }
 
-// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy reports whether the
-// instance that answered is healthy.
+// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy is true if the
+// answering instance reported that it is healthy.
 func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
@@ -227,7 +229,7 @@
 	n.updateAccess()
 }
 
-// HandleReportRequest reports on the keys that the coordinator requested.
+// HandleReportRequest reports at once on the requested keys whose backends this node knows.
 func (n *Node) HandleReportRequest(r ReportRequest) {
 	for _, k := range r.Keys {
 		if instance := n.backends[k.ID]; instance != nil && k.Mode < modeCount {
@@ -238,7 +240,8 @@
 	n.pushReport(r.Keys)
 }
 
-// Tick sets the clock, counts delayed evidence, updates keys and access, probes backends and reports what is due.
+// Tick sets the clock and does the work that has become due: it counts delayed evidence, ends local ejections, updates access, probes backends
+// and reports on keys.
 func (n *Node) Tick(now time.Duration) {
 	n.now = max(n.now, now)
 	n.releaseDelayedEvidence()
@@ -264,8 +267,8 @@
 	}
 }
 
-// probeIdleBackends probes the ready backends that this node owns and that have not answered or been probed for Settings.ProbeIdleAfter. It does
-// nothing if that setting is 0.
+// probeIdleBackends probes each ready backend that this node owns and that has neither answered nor been probed for at least
+// Settings.ProbeIdleAfter. It does nothing if Settings.ProbeIdleAfter is 0.
 func (n *Node) probeIdleBackends() {
 	after := time.Duration(n.state.Settings().ProbeIdleAfter)
 	if after == 0 || !n.state.Enabled() {
@@ -280,7 +283,8 @@
 	}
 }
 
-// pushReport pushes a report with the observations of those keys whose report is due.
+// pushReport pushes one report with the observations of those given keys whose report is due. It pushes nothing if no report is due or if the
+// node is disconnected from the core.
 func (n *Node) pushReport(keys []Key) {
 	if n.disconnected || !n.state.Enabled() {
 		return
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// keyState is this node's state for a key under the current revision of its ejection.
+// keyState is this node's state for a key. Most fields are reset when the revision of the key's ejection changes (resetKey).
 type keyState struct {
 	key      Key
 	backend  *backend
@@ -15,9 +15,9 @@
 	window        slidingWindow
 	evidence      []evidenceItem
 	Totals
-	// The totals in the last report.
+	// The totals in the last report on the key.
 	reportedTotals Totals
-	// The number of items of delayed evidence for which this node keeps the backend closed.
+	// The number of items of delayed evidence on the key. The backend is closed locally while the number is above 0.
 	delayedCount int
 	// The end of the local ejection. 0 if there is none.
 	ejectedUntil time.Duration
@@ -25,9 +25,9 @@
 	localEjections int
 	// The access that was last pushed to the host.
 	access Access
-	// Reports whether this node itself closed the access.
+	// True if the access that was last pushed is Closed because of a local ejection.
 	local bool
-	// The next report is due when this time has passed since reportedAt. 0: nothing to report.
+	// The next report on the key is due when this time has passed since reportedAt. 0: nothing to report.
 	reportWithin time.Duration
 	// The time of the last report on the key. 0: never.
 	reportedAt time.Duration
@@ -37,7 +37,8 @@
 type evidenceItem struct {
 	kind       EvidenceKind
 	observedAt time.Duration
-	// The duration of the attempt. For LostAnswer it is the attempt's time-out.
+	// The time from the sending of the attempt to the evidence. For LostAnswer this is the attempt's time-out. 0 for evidence that does not
+	// come from a network link.
 	timeout time.Duration
 }
 
@@ -55,21 +56,22 @@
 	observedAt time.Duration
 }
 
-// resetKey discards what was observed of a key under another revision, because it is no longer valid.
+// resetKey discards the observations of a key and sets its revision. Observations under another revision do not count. The number of local
+// ejections and the access are kept.
 func (n *Node) resetKey(state *keyState, rev uint64) {
 	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections, access: state.access, local: state.local}
 	n.active[state.key] = state
 }
 
-// RecordAttempt records how an attempt ended. sent is when the attempt was sent, and rev is the key's revision at that time. The host calls it
-// once for each attempt.
+// RecordAttempt records how an attempt ended. sent is the time when the attempt was sent, and rev is the result of Revision at that time. The
+// host calls RecordAttempt once for each attempt.
 func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
 	instance := n.backends[k.ID]
 	kind := seen.EvidenceKind()
 	if instance == nil || !n.state.Enabled() {
 		return
 	}
-	if seen.provesPathWorked() {
+	if seen.provesPathWorks() {
 		instance.lastAnswerAt = n.now
 		path := n.zonePaths[instance.Zone]
 		if path == nil {
@@ -84,15 +86,15 @@
 	n.recordOutcome(instance, k, rev, kind, sent)
 }
 
-// RecordEvidence records evidence that does not follow from the end of an attempt. Its kind is StrayAnswer or DuplicateAnswer. rev is the key's revision when
-// the connection's last attempt was sent.
+// RecordEvidence records evidence that does not follow from the end of an attempt. The kind is StrayAnswer or DuplicateAnswer. rev is the result
+// of Revision when the last attempt was sent on the connection.
 func (n *Node) RecordEvidence(k Key, rev uint64, kind EvidenceKind) {
 	if instance := n.backends[k.ID]; instance != nil && n.state.Enabled() {
 		n.recordOutcome(instance, k, rev, kind, n.now)
 	}
 }
 
-// recordOutcome records one item of evidence on a key. It ignores evidence of another revision than the current one.
+// recordOutcome records a clean answer or a failure of a key. It ignores an attempt that was sent under another revision than the current one.
 func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
@@ -112,7 +114,7 @@
 			s.Reads++
 		}
 	case evidenceWeights[kind][k.Mode] == Ignored:
-	case kind == LostAnswer || kind == ConnectionReset: // A network link may have caused it.
+	case kind == LostAnswer || kind == ConnectionReset: // A network link may have caused the failure.
 		if k.Mode == Strict && n.mayEjectLocally(instance) {
 			state.delayedCount++
 		}
@@ -125,11 +127,12 @@
 	n.updateAccess()
 }
 
-// countEvidence counts evidence. The network link cannot have caused the evidence, or linkEvidenceDelay has passed since it was observed. Evidence
-// in the Strict mode whose weight is not ByRate leads to a local ejection, if mayEjectLocally allows it.
+// countEvidence counts an item of evidence and schedules a report. Evidence that a network link may have caused is passed to this function only
+// after linkEvidenceDelay. Partial and conclusive evidence on a strict key starts a local ejection, if mayEjectLocally allows the ejection.
 func (n *Node) countEvidence(state *keyState, item evidenceItem) {
 	m := state.key.Mode
-	if evidenceWeights[item.kind][m] != Partial { // A separate rule evaluates partial evidence.
+	// Partial evidence does not count in the failure rate. The coordinator evaluates it by a separate rule (ruleLost).
+	if evidenceWeights[item.kind][m] != Partial {
 		state.window.advanceTo(n.now).Failing++
 		state.backend.service.windows[m].advanceTo(n.now).Failing++
 		state.Failing++
@@ -152,16 +155,17 @@
 	n.queueAccessUpdate(state.backend.service)
 }
 
-// scheduleReport schedules a report on the key for when the given time has passed since the last report. It never postpones a scheduled
-// report.
+// scheduleReport schedules a report on the key. The report is due when the time within has passed since the last report on the key. A report that
+// is already scheduled for an earlier time is not postponed.
 func (k *keyState) scheduleReport(within time.Duration) {
 	if k.reportWithin == 0 || within < k.reportWithin {
 		k.reportWithin = within
 	}
 }
 
-// mayEjectLocally reports whether this node may eject a backend locally. A node that sees more than half of a service's backends fail doubts
-// its own observations. The function then returns false and sets doubtUntil.
+// mayEjectLocally reports whether this node may eject a backend locally. A node may eject at most half of a service's backends locally, but
+// always one. When a further backend fails, the cause is likely to be the node itself. The function then sets service.doubtUntil and returns
+// false.
 func (n *Node) mayEjectLocally(instance *backend) bool {
 	svc, count := instance.service, 0
 	for _, other := range svc.backends {
@@ -176,13 +180,13 @@
 	return true
 }
 
-// isLocallyEjected reports whether this node itself closes the backend, without an ejection by the coordinator.
+// isLocallyEjected reports whether the key is under a local ejection. This includes the delay of evidence that a network link may have caused.
 func (k *keyState) isLocallyEjected(now time.Duration) bool {
 	return k.delayedCount > 0 || k.ejectedUntil > now
 }
 
-// releaseDelayedEvidence processes the evidence whose delay is over. It counts the evidence, or drops it if a network link or this node itself may
-// have caused it.
+// releaseDelayedEvidence processes the evidence whose delay is over. Evidence counts only if nothing in the meantime shows that a network link
+// or this node itself may have caused the failure. Other evidence is dropped.
 func (n *Node) releaseDelayedEvidence() {
 	released := 0
 	for _, delayed := range n.delayed {
@@ -196,8 +200,8 @@
 		}
 		state.delayedCount = max(state.delayedCount-1, 0)
 		n.queueAccessUpdate(state.backend.service)
-		// A partition itself causes no connection resets, so a reset needs no intact path. Connections that a partition broke show as resets of
-		// several backends at the same time.
+		// A lost answer counts only if the network path to the zone was intact. A connection reset does not need this check, because a partition
+		// does not reset a single connection. A failure of a link or of this node resets connections to several backends at the same time.
 		if !n.disconnected && n.otherResetCount(delayed) < maxOtherResets && (delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].wasIntact(delayed.sentAt, n.now)) {
 			n.countEvidence(state, delayed.evidenceItem)
 		}
@@ -222,7 +226,7 @@
 }
 
 // maintainKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
-// key from the active ones when no work is pending.
+// key from Node.active when no work is pending.
 func (n *Node) maintainKey(state *keyState) {
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -9,19 +9,21 @@
 
 // The requirements of the recovery steps, and the TTL of unknown instances.
 const (
+	// The upper limit of minEjectionDuration.
 	maxEjectionTime = 10 * time.Minute
-	// Consecutive clean probes, after the ejection time.
+	// The number of consecutive clean probes that end the step Ejected. The minimum duration of the ejection must have passed as well.
 	readmitProbes = 3
-	// Clean answers in the step ReadsOnly.
+	// The number of clean answers that end the step ReadsOnly.
 	readmitReads = 20
-	// Clean answers to writes, doubled with each repeated ejection.
-	readmitWrites     = 40
+	// The number of clean answers that end the step LimitedWrites. The number doubles with each repeated ejection.
+	readmitWrites = 40
+	// The maximum number of these doublings.
 	maxWriteDoublings = 4
-	// The minimum number of nodes that the clean answers come from, if there are so many nodes.
+	// The clean answers must come from at least this number of nodes, or from all nodes if there are fewer.
 	readmitNodes = 4
-	// The number of additional clean answers that each failure requires.
+	// Each failure raises the required number of clean answers by this number.
 	failurePenalty = 10
-	// The time after which an instance that is not in the registry is forgotten.
+	// The ejection of an instance that is not in the registry is forgotten when a coordinator has run for this time.
 	unknownTTL = 60 * time.Second
 )
 
@@ -41,7 +43,7 @@
 }
 
 // requiredAnswers returns the number of clean answers that the current step requires. In the step ReadsOnly of a strict ejection a clean
-// probe counts as two reads, because a service may have no reads.
+// probe counts as two clean answers, because a service may have no patient requests.
 func (e *Ejection) requiredAnswers() uint32 {
 	if e.Step == LimitedWrites {
 		return readmitWrites << min(e.Repeats, maxWriteDoublings)
@@ -54,8 +56,7 @@
 	return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService
 }
 
-// proposeRecoveryStep proposes the next recovery step of an ejection once the requirements of the current step are met. The required answers
-// must come from several nodes, because one node alone may be wrong.
+// proposeRecoveryStep proposes the next recovery step of an ejection if the requirements of the current step are met.
 func (c *Coordinator) proposeRecoveryStep(e *Ejection) {
 	r, backend := c.recoveries[e.Key], c.backends[e.ID]
 	if e.Step == InService || r == nil || backend.ID == "" || backend.Phase != Ready {
@@ -63,7 +64,7 @@
 	}
 	totals := c.recoveryTotals(e)
 	entry := Entry{Verb: StepUp, Revision: e.Rev, Key: e.Key, Service: e.Service,
-		Reason: fmt.Sprintf("%d clean ends, %d failing, %d clean reads, %d probes", totals.Clean, totals.Failing, totals.Reads, totals.Probes)}
+		Reason: fmt.Sprintf("clean answers: %d, failures: %d, clean reads: %d, clean probes: %d", totals.Clean, totals.Failing, totals.Reads, totals.Probes)}
 	if e.Step.next(e.Mode) == InService {
 		entry.Verb = Readmit
 	}
@@ -81,8 +82,8 @@
 	}
 }
 
-// recoveryTotals sums the nodes' totals since the last change of the ejection. One node alone may be wrong. So the clean answers of one
-// node count only up to a share of the required number, and the failures of the node with the most failures do not count.
+// recoveryTotals sums the nodes' totals since the last change of the ejection. A single node may report wrong counts. The clean answers of one
+// node therefore count only up to a fraction of the required number, and the failures of the node with the most failures do not count.
 func (c *Coordinator) recoveryTotals(e *Ejection) (sum Totals) {
 	evidence := c.evidence[e.Key]
 	if evidence == nil {
@@ -102,8 +103,8 @@
 	return sum
 }
 
-// proposeForgetGone proposes to remove the ejections of instances that are gone. It includes instances that are not in the registry when the
-// coordinator has run for longer than unknownTTL.
+// proposeForgetGone proposes to remove the ejections of instances that are gone. When the coordinator has run for longer than unknownTTL, the
+// ejections of instances that are not in the registry are removed as well.
 func (c *Coordinator) proposeForgetGone() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// Observation is what one node has observed of a key. It holds sums and the evidence that has not expired. Each observation replaces all
-// earlier ones, so lost, duplicated and delayed observations do no harm.
+// Observation is what one node has observed of a key. It holds cumulative counts and the evidence that has not expired. Each observation replaces
+// all earlier ones of the same node and key, so the loss, duplication or delay of an observation causes no error.
 type Observation struct {
 	Key
 	// The revision of the key's ejection that was current when the observed requests were sent. A node discards its observations of the key when
 	// the revision changes, so one observation has a single revision.
-	Rev      uint64
+	Rev uint64
+	// The evidence that is not older than evidenceTTL, at most maxEvidence items.
 	Evidence []Evidence
-	Window   Window
-	// The window of all of the service's backends in this mode.
+	// The counts of the key over the last windowDuration.
+	Window Window
+	// The counts of all of the service's backends in this mode over the last windowDuration.
 	ServiceWindow Window
 	// The completed slots of the window, newest first. Set for a strict key that has evidence or that the coordinator requested.
 	Slots []Window
-	// The time since the newest completed slot ended.
+	// The time between the end of the newest completed slot and the report.
 	SlotAge time.Duration
 	Totals
 }
 
-// isValid reports whether an observation is within the bounds that every node keeps to.
+// isValid reports whether an observation has a known mode, known kinds of evidence, no negative durations and no list above its maximum length.
 func (o *Observation) isValid() bool {
 	return o.Mode < modeCount && len(o.Slots) <= maxReportedSlots && len(o.Evidence) <= maxEvidence &&
 		!slices.ContainsFunc(o.Evidence, func(e Evidence) bool { return e.Kind >= evidenceKindCount || e.Age < 0 || e.Timeout < 0 })
 }
 
-// Report carries the observations of a node that are due. At most maxObservations fit into one report.
+// Report carries observations of a node, at most maxObservations.
 type Report struct {
 	Zone string
 	// The node's incarnation, a random number.
 	Incarnation uint64
 	// The sequence number, which rises within the incarnation.
 	Seq uint64
-	// Reports whether the node sees more than half of a service's backends fail. Its evidence alone then ejects no backend.
+	// True if the node sees more than half of the backends of an observed service fail. The evidence of the node alone then ejects no backend.
 	SelfDoubt    bool
 	Observations []Observation
 }
 
-// ReportRequest asks a node to report on some keys at once, also if it has observed nothing.
+// ReportRequest asks a node to report on the given keys at once, even if the node has observed nothing of them.
 type ReportRequest struct{ Keys []Key }
 
 // Action is something that a Node or a Coordinator asks its host to do.
@@ -50,13 +52,13 @@
 // SendReport asks the host to send a report to the coordinator's node. The report may get lost.
 type SendReport struct{ Report Report }
 
-// SetAccess sets which requests of a mode this node may send to a backend from now on. Interval is the minimum time between two requests under
-// Limited access.
+// SetAccess asks the host to apply an access to all further requests of this node to a backend in a mode. Interval is the minimum time between
+// two requests under Limited access.
 type SetAccess struct {
 	Key
 	Access   Access
 	Interval time.Duration
-	// Reports whether this node itself closed the backend to its requests, without an ejection by the coordinator.
+	// True if the access is Closed because of a local ejection.
 	Local bool
 }
 
@@ -73,8 +75,8 @@
 // BroadcastRequest asks the host to send a report request to all nodes, including this one. The request may get lost.
 type BroadcastRequest struct{ Request ReportRequest }
 
-// Propose asks the host to append an entry to the replicated log. Only this node may append the entry. The host must not forward it to
-// another node.
+// Propose asks the host to append an entry to the replicated log. If this node is no longer the leader, the host must drop the entry and must not
+// forward it to another node.
 type Propose struct{ Entry Entry }
 
 func (SendReport) action()       {}
@@ -84,7 +86,7 @@
 func (BroadcastRequest) action() {}
 func (Propose) action()          {}
 
-// actionQueue holds the actions that the host has not yet pulled.
+// actionQueue holds the actions that Next has not returned yet.
 type actionQueue struct{ actions []Action }
 
 func (a *actionQueue) push(action Action) { a.actions = append(a.actions, action) }
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -7,7 +7,8 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// Settings are the operators' settings. A log entry changes them. A number or duration of 0 is replaced by the value of DefaultSettings.
+// Settings are the operators' settings of outlier detection. They change only by a SetSettings entry. A number or duration of 0 is replaced by the
+// value of DefaultSettings.
 type Settings struct {
 	Enabled bool    `json:"on"`
 	Routes  []Route `json:"routes" validate:"max=256,unique=Route,dive"`
@@ -21,11 +22,11 @@
 	SoleWitnessMax int `json:"alone_most" validate:"min=1,max=64"`
 	// The minimum duration of an ejection, from 1 s to 10 min, doubled with each repeated ejection.
 	BaseEjectionTime logentry.Duration `json:"rest" validate:"min=1000000000,max=600000000000"`
-	// The idle time after which a backend in service is probed. 0: backends in service are not probed.
+	// A backend in service is probed when it has not answered a request or a probe for this time. 0: backends in service are not probed.
 	ProbeIdleAfter logentry.Duration `json:"probe_silent" validate:"min=0"`
 }
 
-// Route sets the mode of the requests of a route, in all of the route's variants.
+// Route sets the mode of the requests of a route. Route is the route's name.
 type Route struct {
 	Route string `json:"route" validate:"required,max=128"`
 	Mode  string `json:"manner" validate:"oneof=strict patient off"`
@@ -36,7 +37,7 @@
 	return Settings{MinInService: 2, MinInServicePercent: 50, SoleWitnessPercent: 13, SoleWitnessMax: 4, BaseEjectionTime: logentry.Duration(5 * time.Second)}
 }
 
-// Normalize replaces zero values by the defaults and validates the settings. Its errors are of type logentry.FieldError.
+// Normalize replaces zero values by the defaults and validates the settings. An error is of type logentry.FieldError.
 func (s *Settings) Normalize() error {
 	defaults := DefaultSettings()
 	s.MinInService = cmp.Or(s.MinInService, defaults.MinInService)
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// ModeFor returns the mode of a route's requests. Without a setting for the route, it is Strict for requests with side effects and Patient for
-// others.
+// ModeFor returns the mode of a route's requests. Without a setting for the route, the mode is Strict for requests with side effects (effectful)
+// and Patient for others.
 func (s *Settings) ModeFor(route string, effectful bool) Mode {
 	for _, r := range s.Routes {
 		if r.Route != route {
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -13,13 +13,19 @@
 const (
 	maxEjections = 1024
 	// The maximum number of entries in the history.
-	maxHistory        = 256
-	maxCallIDs        = 256
-	maxTextBytes      = 256
-	maxTrust          = 1024
-	maxRepeats        = 16
+	maxHistory = 256
+	// The number of the newest call IDs that are stored for deduplication.
+	maxCallIDs = 256
+	// The maximum length of each text in an entry.
+	maxTextBytes = 256
+	// The maximum number of witnesses whose refutations are stored.
+	maxTrust = 1024
+	// The maximum of Ejection.Repeats.
+	maxRepeats = 16
+	// The maximum number of witnesses in an Eject entry.
 	maxNamedWitnesses = 8
-	// After this number of entries half of a witness's refutations are forgiven. It is about five ejections with their recoveries.
+	// The number of the state's revisions after which the refutations of a witness count half. About five ejections with their recoveries take
+	// this number of entries.
 	refutationHalvingPeriod = 24
 )
 
@@ -61,7 +67,8 @@
 	return nil
 }
 
-// ejectionRevision returns the revision of a key's ejection, under which its evidence is gathered now. It is 0 if no ejection is stored.
+// ejectionRevision returns the revision of a key's ejection, or 0 if no ejection is stored. Only evidence that was observed under this revision
+// counts.
 func (s *State) ejectionRevision(k Key) uint64 {
 	if ejection := s.Ejection(k); ejection != nil {
 		return ejection.Rev
@@ -69,13 +76,12 @@
 	return 0
 }
 
-// findEjection returns the index of a key's ejection, or the index to insert it at and false.
+// findEjection returns the index of a key's ejection and true. If no ejection is stored, it returns the index at which to insert one and false.
 func (s *State) findEjection(k Key) (int, bool) {
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// recordRefutation records that a backend that was ejected on the evidence of w alone came back into service, and that no other node had confirmed the
-// evidence.
+// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service.
 func (s *State) recordRefutation(w Slot) {
 	n := s.refutationCount(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
@@ -97,7 +103,7 @@
 	case SetSettings:
 		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
 		err := s.snapshot.Settings.Normalize()
-		invariant.Assert(err == nil, "settings of an accepted entry are valid")
+		invariant.Assert(err == nil, "the settings of an accepted entry are valid")
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
@@ -121,7 +127,7 @@
 	return routing.Accepted, nil
 }
 
-// eject starts an ejection. If too many ejections are stored, it drops the oldest one whose backend is back in service.
+// eject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
 func (s *State) eject(e *Entry) {
 	sole, _ := s.soleWitness(e)
 	i, exists := s.findEjection(e.Key)
--- a/internal/gateway/outlier/window.go
+++ b/internal/gateway/outlier/window.go
@@ -6,20 +6,23 @@
 
 // Bounds of what a node stores and reports of a key.
 const (
+	// The number of slots of a sliding window, and the duration of one slot and of the window.
 	windowSlots    = 20
 	slotDuration   = 500 * time.Millisecond
 	windowDuration = windowSlots * slotDuration
 	// The maximum number of slots in one observation.
 	maxReportedSlots = 12
-	evidenceTTL      = 60 * time.Second
-	// The maximum number of items in one observation. The newest items are kept.
+	// The age above which evidence has expired.
+	evidenceTTL = 60 * time.Second
+	// The maximum number of items of evidence on a key, and in one observation. The newest items are kept.
 	maxEvidence = 8
 )
 
-// Window counts the attempts that ended within windowDuration or within a part of it.
+// Window counts the attempts that ended within a period, which is windowDuration or one slot of it.
 type Window struct {
+	// The number of clean answers.
 	Clean uint32
-	// The failures that count under the weights of the mode.
+	// The number of failures. Ignored and partial evidence does not count (evidenceWeights).
 	Failing uint32
 	// The sum of the latencies of the clean answers, in milliseconds.
 	LatencyMillis uint32
@@ -32,25 +35,25 @@
 	w.LatencyMillis += o.LatencyMillis
 }
 
-// minus returns the window without the counts of another window. No count falls below 0.
+// minus returns the difference of the counts of two windows. A negative difference is replaced by 0.
 func (w Window) minus(o Window) Window {
 	return Window{w.Clean - min(o.Clean, w.Clean), w.Failing - min(o.Failing, w.Failing), w.LatencyMillis - min(o.LatencyMillis, w.LatencyMillis)}
 }
 
-// attemptCount returns the number of attempts that ended.
+// attemptCount returns the number of clean answers and failures.
 func (w Window) attemptCount() uint32 { return w.Clean + w.Failing }
 
-// failureRate returns the share of attempts that failed, from 0 to 1. It is 0 for an empty window.
+// failureRate returns the fraction of attempts that failed, from 0 to 1. It is 0 for an empty window.
 func (w Window) failureRate() float64 { return float64(w.Failing) / max(float64(w.attemptCount()), 1) }
 
 // slidingWindow counts the attempts that ended within the last windowDuration, in slots of slotDuration.
 type slidingWindow struct {
 	slots [windowSlots]Window
-	// The number of the newest slot, which is its time divided by slotDuration.
+	// The number of the newest slot. The number of a slot is the slot's time divided by slotDuration.
 	newestSlot time.Duration
 }
 
-// advanceTo advances the window to a time and returns the slot of that time. It clears the slots that the window has passed.
+// advanceTo advances the window to the given time and returns the newest slot. It clears the slots that have left the window.
 func (s *slidingWindow) advanceTo(now time.Duration) *Window {
 	slot := now / slotDuration
 	for i := max(s.newestSlot+1, slot-windowSlots+1); i <= slot; i++ {
@@ -80,7 +83,7 @@
 
 // Totals holds a node's counts since the last change of a key's ejection.
 type Totals struct {
-	Clean, Failing uint32
+	Clean, Failing uint32 // The numbers of clean answers and of failures, as in Window.
 	// For a strict key: the clean answers to the instance's patient requests.
 	Reads uint32
 	// The number of consecutive clean probes.
--- a/internal/gateway/outlier/zonepath.go
+++ b/internal/gateway/outlier/zonepath.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// Constants for the gaps between the answers of a zone's backends.
+// Constants for the gaps between the answers of a zone's backends. A gap is the time between two successive answers.
 const (
-	// A gap of up to this multiple of the smoothed gap is tolerated.
+	// A gap is normal up to this multiple of the average gap.
 	gapFactor = 8
-	// The lower bound of the tolerance.
+	// The lower bound of gapTolerance.
 	minGap = 300 * time.Millisecond
-	// The upper bound of the tolerance, and of a gap in the average.
+	// The upper bound of gapTolerance. A longer gap enters the average as a gap of this duration.
 	maxGap = 3 * time.Second
 	// The weight of a new gap in the exponential moving average.
 	gapSmoothing = 0.05
 )
 
-// zonePath determines from the gaps between answers whether the backends of a zone are reachable.
+// zonePath determines from the gaps between answers whether this node's network path to the backends of a zone works.
 type zonePath struct {
 	lastAnswerAt time.Duration
 	// The exponential moving average of the gap between two answers, in seconds.
 	smoothedGap float64
-	// No gap has exceeded the tolerance since this time.
+	// The end of the last gap that exceeded gapTolerance. Initially the time at which the zonePath was created.
 	steadySince time.Duration
 }
 
-// newZonePath returns a zonePath that starts with the longest tolerance.
+// newZonePath returns a zonePath whose gapTolerance is maxGap.
 func newZonePath(now time.Duration) *zonePath {
 	return &zonePath{lastAnswerAt: now, steadySince: now, smoothedGap: maxGap.Seconds() / gapFactor}
 }
@@ -44,8 +44,8 @@
 	z.lastAnswerAt = now
 }
 
-// wasIntact reports whether the zone's answers have arrived without a long gap in the time between from and now. They must have arrived so
-// frequently that a partition for half of that time would have been noticed. intact returns false for a nil zonePath.
+// wasIntact reports whether the zone's answers arrived without a gap above gapTolerance between the times from and now. It returns false if the
+// answers are so rare that a partition for half of that time would not show as a long gap. It also returns false for a nil zonePath.
 func (z *zonePath) wasIntact(from, now time.Duration) bool {
 	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.gapTolerance() && z.gapTolerance() <= max((now-from)/2, minGap)
 }
