--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -53,11 +53,11 @@
 	return Report{Zone: "a", Incarnation: 1, Seq: seq, Observations: []Observation{observation}}
 }
 
-// Guards against an ejection that rests on outdated information. The test plays seven events in every order: the evidence of two nodes, a delayed
-// entry of an old coordinator, a change of the coordinator, the draining and the end of the backend, and an operator's Clear. An entry with an
-// older fencing token is never accepted after an entry with a newer token. Evidence from before a Clear ejects no backend. An instance that is gone
-// is not ejected, and the next instance at the same address is not ejected either. All replicas that apply the log reach the same state, whatever
-// snapshot they start from.
+// Guards against an ejection that rests on outdated information. The test applies seven events in every order: the reports of two nodes, a delayed
+// entry of the first coordinator, a change of the coordinator, the draining and the end of the backend, and an operator's Clear. An entry with an
+// older fencing token must never be accepted after an entry with a newer token. Evidence from before a Clear must eject no backend. Neither an
+// instance that is gone nor the next instance at the same address may be ejected. All replicas that apply the log must reach the same state,
+// whatever snapshot they start from.
 func TestEjectionEventsInEveryOrder(t *testing.T) {
 	t.Parallel()
 	k := Key{"i-1", Strict}
@@ -111,13 +111,13 @@
 				coordinator.HandleReport(0, newReport(1, 0, "i-1", DuplicateAnswer))
 			case 1:
 				coordinator.HandleReport(1, newReport(1, 0, "i-1", StrayAnswer))
-				// A report with duplicate evidence arrives before a report with a lower sequence number.
+				// The report with sequence number 3 arrives before the one with number 2, which has no evidence and must be ignored.
 				coordinator.HandleReport(0, newReport(3, 0, "i-1", DuplicateAnswer, DuplicateAnswer))
 				coordinator.HandleReport(0, newReport(2, 0, "i-1"))
 			case 2: // A delayed entry of the first coordinator.
 				result := apply(Entry{Verb: Eject, Key: k, Service: "libro", Witnesses: []Slot{0, 1}, ReadyBackends: 3, FencingToken: 1})
 				must.False(t, s.FencingToken > 1 && result == routing.Accepted)
-			case 3: // Another coordinator takes over, and the nodes report again.
+			case 3: // Another coordinator takes over, and node 1 reports again.
 				fencingToken++
 				coordinator = NewCoordinator(fencingToken, now)
 				coordinator.SetNodeCount(2)
@@ -175,8 +175,8 @@
 	})
 }
 
-// Guards against a sole witness that keeps a backend out of service. During the recovery, the evidence of the sole witness does not eject the
-// backend again. The evidence of another node does.
+// Guards against a sole witness that keeps a backend out of service. During the recovery, the evidence of the sole witness must not eject the
+// backend again. The evidence of another node must eject the backend again.
 func TestRecoveryIgnoresSoleWitness(t *testing.T) {
 	t.Parallel()
 	for witness, want := range []int{0, 1} {
@@ -198,11 +198,11 @@
 	}
 }
 
-// Guards against evidence that a network failure caused, and against a backend that stays closed to requests. The test plays seven events at a
+// Guards against evidence that a network failure caused, and against a backend that stays closed to requests. The test applies seven events to a
 // node in every order: a lost answer, an ejection, an operator's Clear, the loss and the return of the connection to the core, the end of the
-// instance, and a pause in the answers of the zone. A lost answer is reported after a delay, and only while the backends of the zone answer and
-// the core is reachable. An ejection closes the instance to the node's requests. A local ejection ends. Other instances stay open to the node's
-// requests. An attempt that was sent under an older revision, or to an instance that is gone, is no evidence.
+// instance, and a gap in the answers of the zone. The node may report a lost answer only after linkEvidenceDelay, and only while it is connected
+// to the core. An ejection must close the instance to the node's requests, and a local ejection must end. Other instances must stay open. An
+// attempt that was sent under an older revision, or to an instance that is gone, must not count as evidence.
 func TestNodeEventsInEveryOrder(t *testing.T) {
 	t.Parallel()
 	k := Key{"i-1", Strict}
@@ -273,13 +273,13 @@
 			case 4:
 				connected = true
 				node.SetConnected(true)
-			case 5: // Another instance starts at its address.
+			case 5: // The instance ends, and another instance starts at its address.
 				gone = true
 				instance := readyBackend("i-1")
 				instance.Phase = Gone
 				node.SetBackend(instance)
 				node.SetBackend(readyBackend("i-5"))
-			case 6: // The zone answers nothing for longer than the usual gap between answers.
+			case 6: // No backend of the zone answers for longer than gapTolerance.
 				run(2*time.Second, false)
 			}
 			run(200*time.Millisecond, true)
@@ -292,9 +292,9 @@
 	})
 }
 
-// Guards against an ejection because of a faulty link or a single node. Nodes of another zone cannot eject a backend with partial evidence
-// while the nodes of the backend's zone get answers. Conclusive evidence needs no node of the backend's zone. A failure rate must remain too
-// high when the observations of any one node are left out.
+// Guards against an ejection because of a faulty link or a single node. The partial evidence of nodes of another zone must not eject a backend
+// while the nodes of the backend's zone get answers. Conclusive evidence must eject a backend also if no node of the backend's zone has evidence.
+// A failure rate must lead to an ejection only if the rate remains too high when the observations of any one node are left out.
 func TestSingleZoneOrSingleNodeEvidence(t *testing.T) {
 	t.Parallel()
 	countEjections := func(makeReports func(seq uint64) []Report) (ejections int) {
@@ -341,7 +341,9 @@
 	must.Positive(t, countEjections(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, DuplicateAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	confirmedBy := func(seq uint64, confirming int) []Report { // A number of nodes report answers during the attempts.
+	// confirmedBy returns the reports of two nodes with a lost answer and two other nodes. The first nodes of these others, as many as the value of
+	// confirming, report fast answers during the attempts.
+	confirmedBy := func(seq uint64, confirming int) []Report {
 		reports := []Report{report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range confirming {
 			reports[2+i].Observations[0].Slots = slices.Repeat([]Window{{Clean: 50, LatencyMillis: 5000}}, maxReportedSlots)
@@ -350,12 +352,12 @@
 	}
 	must.Eq(t, 0, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 1) }))
 	must.Positive(t, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 2) }))
-	invalid := report(1, "a", 0, 0, evidenceKindCount) // A report with an unknown kind of evidence is ignored and causes no panic.
+	invalid := report(1, "a", 0, 0, evidenceKindCount) // A report with an unknown kind of evidence must be ignored and must cause no panic.
 	must.Eq(t, 0, countEjections(func(uint64) []Report { return []Report{invalid} }))
 }
 
-// Guards against evidence on backends that a failure of the node itself caused. Resets by one or two backends are reported. Resets by three backends at the
-// same time are attributed to the node and are not reported.
+// Guards against evidence that a failure of the node itself caused. Resets by one or two backends must be reported. Resets by three backends at
+// the same time must be attributed to the node and must not be reported.
 func TestSimultaneousResetsAreNotReported(t *testing.T) {
 	for resetCount, want := range []int{0, 1, 2, 0} {
 		node, reported := NewNode("a", 1, 0), 0
@@ -380,7 +382,7 @@
 	}
 }
 
-// Guards against a wrong kind of evidence for the end of an attempt.
+// Guards against a wrong result of AttemptEnd.EvidenceKind. Such a result would count against a backend that has no fault.
 func TestAttemptEndEvidence(t *testing.T) {
 	for want, ends := range map[EvidenceKind][]AttemptEnd{
 		CleanAnswer:     {{Ending: control.Succeeded}, {Ending: control.Succeeded, PartialAnswer: true}},
@@ -397,8 +399,8 @@
 	}
 }
 
-// Guards against settings errors that do not name the invalid field, against wrong defaults and route modes, and against settings that are
-// applied twice or over a newer revision.
+// Guards against settings errors that do not name the invalid field, against wrong defaults, and against wrong modes of routes. Settings with a
+// known call ID must not be applied again. Settings with an outdated revision must not replace newer ones.
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Settings){
 		"floor_share":      func(s *Settings) { s.MinInServicePercent = 101 },
@@ -430,8 +432,8 @@
 		[]Mode{effective.ModeFor("r-a", true), effective.ModeFor("r-b", true), effective.ModeFor("r-c", true), effective.ModeFor("r-c", false)})
 }
 
-// Guards against a state that grows without bound, and against a node that ejects more backends alone than its limits allow. A refutation
-// lowers the limits.
+// Guards against a state that grows without bound, and against a node whose evidence alone ejects more backends than Settings.soleWitnessLimits
+// allows. A refutation must lower these limits.
 func TestStateIsBounded(t *testing.T) {
 	t.Parallel()
 	s := enabledState()
@@ -450,9 +452,9 @@
 		must.NoError(t, err)
 	}
 	must.Eq(t, 1, s.refutationCount(5))
-	_, err := eject(18, 5) // One backend of this service of 16 is already ejected, and the limit of the refuted witness is now one.
+	_, err := eject(18, 5) // Witness 5 has already ejected one backend of this service alone, and the refutation lowered the limit to one.
 	must.Error(t, err)
-	_, err = eject(18, 5, 6) // Two witnesses do not suffice, because one of them was refuted.
+	_, err = eject(18, 5, 6) // These two witnesses do not suffice, because witness 5 has a refutation.
 	must.Error(t, err)
 	_, err = eject(18, 5, 6, 7)
 	must.NoError(t, err)
@@ -462,7 +464,7 @@
 	}
 	must.Len(t, maxEjections, s.Ejections())
 	must.Len(t, maxHistory, s.History())
-	must.Eq(t, 0, s.refutationCount(5)) // The refutation is forgiven after many entries.
+	must.Eq(t, 0, s.refutationCount(5)) // The refutation no longer counts after many entries.
 	encoded := s.Snapshot()
 	must.Less(t, 1<<20, len(encoded))
 	restored, err := Restore(encoded)
@@ -477,9 +479,9 @@
 	must.Nil(t, s.Ejection(Key{"i-0018", Strict}))
 }
 
-// Guards against a service that keeps fewer open backends than Settings requires. When all backends are ejected, no backend is open to strict
-// requests, and the node pushes NoneAvailable every five seconds. The least unhealthy backends stay open to patient requests. A node that sees all
-// backends fail doubts its own observations and locally ejects only half of the backends.
+// Guards against a service that keeps fewer backends open to patient requests than Settings.requiredInService. When all backends are ejected, no
+// backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must stay open to
+// patient requests. A node that sees all backends fail must doubt its own observations and locally eject only half of the backends.
 func TestMinimumInService(t *testing.T) {
 	s := enabledState()
 	node := NewNode("a", 1, 0)
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -27,15 +27,15 @@
 // simService is a service of the simulated site.
 type simService struct {
 	name                string
-	backendCount        int
-	writeRate, readRate float64 // Requests per second, over all nodes.
+	backendCount        int     // The number of backends at the start.
+	writeRate, readRate float64 // Strict and patient requests per second, over all nodes.
 	typicalLatency      time.Duration
 	timeout             time.Duration
 	backends            []*simBackend
 }
 
-// faultFunc returns the evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency. The kind
-// is NoEvidence if the request has no fault.
+// faultFunc returns the kind of evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency.
+// The kind is NoEvidence if the fault does not affect the request.
 type faultFunc func(sim *simulation, node *simNode, m Mode) (kind EvidenceKind, slowdown float64)
 
 // simBackend is a simulated backend.
@@ -48,7 +48,7 @@
 	crashed         bool
 	latencyFactor   float64
 	firstEvidenceAt time.Duration // The time when a node first saw evidence.
-	faulty          bool          // Reports whether the backend itself has a fault.
+	faulty          bool          // True if the backend itself has a fault, as opposed to a link to it.
 	requests        []*simRequest // The requests in flight.
 }
 
@@ -75,8 +75,8 @@
 	access      map[Key]SetAccess
 	inFlight    map[Key]int // The number of requests in flight.
 	lastSentAt  map[Key]time.Duration
-	forgeReport func(node *simNode) *Report
-	unserved    int
+	forgeReport func(node *simNode) *Report // Returns a false report of a lying node. Nil if the node reports the truth.
+	unserved    int                         // The number of requests for which no backend was open.
 }
 
 // simulation is a site with nodes in three zones, its backends, the core's log and the links between them.
@@ -93,7 +93,7 @@
 	state           *State
 	events          map[time.Duration][]func()
 	partitions      []partition
-	baseErrorRate   float64 // The share of requests that any backend answers with a 5xx.
+	baseErrorRate   float64 // The fraction of requests that any backend answers with a 5xx, also without a fault.
 	startedBackends int
 
 	faultCounts                      map[EvidenceKind]int // The number of requests with a fault, by kind.
@@ -107,7 +107,7 @@
 	maxSoleEjections                 int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
 
-// partition separates a zone or a node from all others for a period.
+// partition separates one zone or one node from everything else for a period.
 type partition struct {
 	zone, node int // -1: none.
 	from, to   time.Duration
@@ -182,7 +182,8 @@
 	sim.coordinator.ApplyState(sim.state, nil)
 }
 
-// partitionEnd returns the end of the partitions between two places. It returns 0 if they can reach each other. A node of -1 is a backend.
+// partitionEnd returns the time when the last current partition between two participants ends, or 0 if they can reach each other. A participant
+// is a node in a zone, or a backend in a zone if the node is -1.
 func (sim *simulation) partitionEnd(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
 	for _, p := range sim.partitions {
 		if sim.now < p.from || sim.now >= p.to {
@@ -293,7 +294,7 @@
 	}
 }
 
-// hasQuorum reports whether the coordinator's node is connected to the majority, which is two of the three zones.
+// hasQuorum reports whether the coordinator's node reaches a majority, which means that no partition separates its zone or the node itself.
 func (sim *simulation) hasQuorum() bool {
 	for _, p := range sim.partitions {
 		if sim.now >= p.from && sim.now < p.to && (p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode) {
@@ -303,7 +304,7 @@
 	return true
 }
 
-// handleActions carries out a node's pending actions. It replaces the reports of a lying node by forged ones.
+// handleActions carries out a node's pending actions. For a lying node it delivers forged reports in place of the true ones.
 func (sim *simulation) handleActions(node *simNode) {
 	for action, ok := node.Next(); ok; action, ok = node.Next() {
 		switch action := action.(type) {
@@ -383,7 +384,7 @@
 			far = append(far, b)
 		}
 	}
-	if len(near) == 0 || sim.rng.Intn(10) == 0 && len(far) > 0 { // Some requests cross zones in any case.
+	if len(near) == 0 || sim.rng.Intn(10) == 0 && len(far) > 0 {
 		near = far
 	}
 	if len(near) == 0 {
@@ -411,7 +412,7 @@
 	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
-	for _, p := range sim.partitions { // A partition that begins while the request is in flight.
+	for _, p := range sim.partitions { // A partition that begins while the request is in flight delays the answer.
 		inside := func(index, zone int) bool { return p.node >= 0 && index == p.node || p.zone >= 0 && zone == p.zone }
 		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
 			latency += p.to - p.from + time.Duration(200+sim.rng.Intn(800))*ms
@@ -492,14 +493,14 @@
 		}
 		minimum := node.state.Settings().requiredInService(ready)
 		if open < minimum {
-			panic(fmt.Sprintf("node %d has %d of %d backends open, the minimum is %d", node.slot, open, ready, minimum))
+			panic(fmt.Sprintf("too few backends open to patient requests: node=%d open=%d ready=%d minimum=%d", node.slot, open, ready, minimum))
 		}
 		sim.worstPatientShare = max(sim.worstPatientShare, float64(ready-open)/float64(max(ready-minimum, 1)))
 	}
 }
 
-// injectFault gives a share of a service's backends a fault that affects a share of the requests of a mode. If caller is not -1, the fault
-// affects only requests from nodes of that zone to backends elsewhere.
+// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If caller is not -1, the fault
+// is a link fault: it affects only requests from nodes of the zone with the number caller to backends of other zones.
 func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, caller int) {
 	var candidates []*simBackend
 	for _, b := range sim.backends {
@@ -518,7 +519,7 @@
 	}
 }
 
-// resetConnections ends the requests in flight that match by a connection reset.
+// resetConnections ends all requests in flight for which matches returns true. They end by a connection reset.
 func (sim *simulation) resetConnections(matches func(req *simRequest) bool) {
 	for _, b := range sim.backends {
 		for _, req := range slices.Clone(b.requests) {
@@ -530,7 +531,7 @@
 	}
 }
 
-// crashBackend stops a backend without notice. The registry learns of it after 3 s, and a new instance starts after 5 s.
+// crashBackend stops a backend without notice. The registry learns of the crash after 3 s, and a new instance starts after 5 s.
 func (sim *simulation) crashBackend(b *simBackend) {
 	if b.crashed || b.Phase != Ready {
 		return
@@ -551,7 +552,8 @@
 	sim.updateRegistry(b)
 }
 
-// scheduleDisturbances schedules the usual disturbances of a site. None of them is a faulty backend.
+// scheduleDisturbances schedules random disturbances: crashes, partitions, connection resets, slow backends and restarts. The given interval is
+// the mean time between two disturbances. No disturbance is a fault for which a backend should be ejected.
 func (sim *simulation) scheduleDisturbances(interval time.Duration) {
 	sim.baseErrorRate = 0.01
 	randomBackend := func() *simBackend {
@@ -561,7 +563,8 @@
 	addPartition := func(p partition, from time.Duration) {
 		p.from, p.to = from, from+time.Duration(1000+sim.rng.Intn(7000))*ms
 		sim.partitions = append(sim.partitions, p)
-		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode { // The next coordinator is on the other side of the partition.
+		// If the partition separates the coordinator's node, another coordinator starts on the other side of the partition.
+		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode {
 			sim.schedule(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
@@ -587,7 +590,7 @@
 				b.faultStart, b.faultEnd = sim.now, sim.now+10*time.Second
 				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
 				sim.schedule(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
-			case 6:
+			case 6: // A backend is replaced by a new instance.
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
 					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
@@ -607,11 +610,11 @@
 		sim.applyArrivedEntries(node)
 		sim.handleActions(node)
 		if !bytes.Equal(sim.state.Snapshot(), node.state.Snapshot()) {
-			panic(fmt.Sprint("node ", node.slot, " differs in its state from the log"))
+			panic(fmt.Sprint("the state of node ", node.slot, " differs from the state of the log after all entries were applied"))
 		}
 		for k, access := range node.access {
 			if other := sim.nodes[0].access[k]; !access.Local && !other.Local && access.Access != other.Access {
-				panic(fmt.Sprintf("nodes %d and 0 differ in which requests they may send to %v", node.slot, k))
+				panic(fmt.Sprintf("node %d and node 0 have different access to the key %v", node.slot, k))
 			}
 		}
 	}
@@ -649,8 +652,8 @@
 	return defaultCount
 }
 
-// Guards against ejections of healthy backends because of the usual disturbances, which occur every five seconds on average. At most
-// one wrong ejection is allowed, and one more for every ten simulated hours.
+// Guards against ejections of healthy backends because of the disturbances of scheduleDisturbances, which occur every five seconds on average.
+// At most one wrong ejection is allowed, and one more for every ten simulated hours.
 func TestDisturbancesRarelyEjectHealthyBackends(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -674,14 +677,14 @@
 				}
 			}
 		})
-		t.Logf("%d nodes, %d seeds, %v simulated: %d of %d ejections wrong; largest number of backends not open to repeatable requests, as a fraction of the allowed number: %.2f; healthy backends closed to non-repeatable requests by local ejections: %v per node; %.1f reports/s",
+		t.Logf("nodes=%d seeds=%d simulated=%v: wrong ejections %d of %d; largest number of backends not open to patient requests, as a fraction of the allowed number: %.2f; time for which local ejections closed healthy backends to strict requests: %v per node; %.1f reports/s",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
 }
 
-// forgedReport returns a lying node's report. It holds evidence of every kind against up to forty backends, confirms the losses that other
-// nodes report, and claims that all other backends are healthy.
+// forgedReport returns the report of a lying node, which is a node that sends false reports. The report holds evidence of every kind against up
+// to forty backends, confirms the losses that other nodes report, and claims that all other backends are healthy. It is nil between two reports.
 func (sim *simulation) forgedReport(node *simNode) *Report {
 	if sim.now%(4*tickInterval) != 0 || sim.now < 5*time.Second {
 		return nil
@@ -706,8 +709,8 @@
 	return report
 }
 
-// Guards against a node that ejects backends with false reports. At no time may the number of ejections on that node's evidence alone exceed the
-// limits of Settings.soleWitnessLimits. Each refutation lowers the limits.
+// Guards against a node that ejects backends with false reports. At no time may the number of ejections on the evidence of this node alone exceed
+// Settings.soleWitnessLimits.
 func TestOneLyingNode(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -733,7 +736,7 @@
 						soleEjections++
 						byService[ejection.Service+ejection.Mode.String()]++
 					} else if ejection.Step != InService && !tc.disturbed {
-						panic(fmt.Sprintf("%v is ejected on the evidence of more than the lying node", ejection))
+						panic(fmt.Sprintf("ejection %+v does not rest on the evidence of the lying node alone", ejection))
 					}
 				}
 				sim.maxSoleEjections = max(sim.maxSoleEjections, soleEjections)
@@ -741,7 +744,7 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("node %d alone has ejected %d backends of %s, %d in total", lyingNode.slot, count, svc.name, soleEjections))
+							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d", lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
 				}
@@ -755,7 +758,7 @@
 				}
 			}
 		})
-		t.Logf("%d nodes, disturbances %v, %d seeds, %v simulated: at most %d backends ejected at once on the lying node's evidence alone; %d ejections (%d of healthy backends with other witnesses); healthy backends closed to non-repeatable requests: %v per node",
+		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v: at most %d keys ejected at once on the lying node's evidence alone; %d ejections (%d of healthy backends with several witnesses); time for which ejections closed healthy backends to strict requests: %v per node",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
@@ -770,7 +773,7 @@
 }
 
 // Guards against slow detection of a faulty backend. The test measures the time from the first evidence to the ejection, and the time from the
-// ejection until the connected nodes apply it. Faults of one zone's links, and faults that all backends have alike, must eject no backend.
+// ejection until the connected nodes apply the entry. Faults of one zone's links, and faults that all backends have equally, must eject no backend.
 func TestDetectionTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -782,20 +785,20 @@
 		mode         Mode
 		kind         EvidenceKind
 		requestShare float64
-		caller       int           // Only requests from this zone to backends elsewhere are affected. -1: all requests.
-		maxMedian    time.Duration // The specified limit of the median. 0: no ejection is expected.
+		caller       int           // Only requests from this zone to backends of other zones are affected. -1: all requests.
+		maxMedian    time.Duration // The limit for the median time to the ejection. 0: no ejection is expected.
 	}{
 		{"one answer in forty lost", 12, smallSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
 		{"one answer in forty lost", 96, largeSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all within two seconds, no seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one in five fails by 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one in five fails by 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine reads in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one in ten lost, from one zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one in ten lost, from one zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all fail by 5xx alike", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"one request in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"one request in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"all answers without a seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"one request in five answered with 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"one request in five answered with 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"nine answers in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"one answer in ten lost, on links of a zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"one answer in ten lost, on links of a zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"all backends answer half with 5xx", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
@@ -816,7 +819,7 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | faults %d | %d ejections of %d keys | unserved %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
+		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faulty requests per run: %d | %d ejections of %d keys | unserved requests: %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
 	}
