--- a/internal/gateway/registry/action.go
+++ b/internal/gateway/registry/action.go
@@ -14,19 +14,19 @@
 	Message Message
 }
 
-// Changed reports a backend that differs from its last report. Record.Phase is the phase that requests should see. It is
-// Gone also when a more recently seen backend has the same address.
+// Changed reports a backend that has changed since the last Changed for the backend. Record.Phase is the phase that
+// requests should see. It is also Gone if a backend that was first seen later has the same address.
 type Changed struct {
 	Record Record
-	// End of the slow start on the host's clock. The backend is not in slow start if this time is past.
+	// End of the backend's slow start, on the host's clock. A time in the past means that the backend is not in slow start.
 	SlowStartUntil time.Duration
 }
 
-// Acknowledge answers a call. If Confirmed is true, the host answers 200 with OwnerAddr as beat_target. Otherwise it
-// answers 503, and the backend retries the call at another node.
+// Acknowledge asks the host to answer a call. If Confirmed is true, the host answers HTTP 200 with OwnerAddr in the field
+// beat_target. Otherwise the host answers HTTP 503, and the backend retries the call at another node.
 type Acknowledge struct {
 	Ticket Ticket
-	// Control address for the next heartbeats. It is empty if no owner is live.
+	// Control address for the next heartbeats. It is empty if no live node can own backends, or if the call is rejected.
 	OwnerAddr string
 	Confirmed bool
 }
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -11,19 +11,20 @@
 	allCopiesTimeout = 500 * time.Millisecond
 	// minCopiesTimeout is how long a departure waits for MinCopies copies.
 	minCopiesTimeout = 800 * time.Millisecond
-	// callTimeout is the age of a call at which the backend has turned to another node. The backend expects the answer within
-	// 1 s, and the answer itself takes time to arrive.
+	// callTimeout is the age of a call from which the answer would reach the backend too late. The backend calls another node
+	// if it has no answer within 1 s, and the answer takes time to arrive.
 	callTimeout = 950 * time.Millisecond
 )
 
-// pendingCall is a call that reports a departure and waits for other nodes to store it. The call is not answered earlier,
-// because this node may be killed immediately after its answer.
+// pendingCall is a call that reports a departure and waits until other nodes have the departure. The call is not answered
+// earlier, because this node may be killed immediately after its answer.
 //
 // A departure is confirmed when Config.MinCopies nodes with a disk have it. This is one copy more than the number of nodes
-// that may be lost. The rule does not depend on which node answers or on how many nodes are reachable. In the first
-// moments of a partition, a copy at every reachable node proves nothing. The copies ensure that a departure survives the
-// loss of nodes. They do not ensure that every node in contact with a majority applies the departure. That requires the
-// following steps within the drain time:
+// that may be lost. The rule does not depend on which node answers or on how many nodes are reachable. Copies at all
+// reachable nodes would not suffice, because a partition that has just begun may leave very few nodes reachable.
+//
+// The copies ensure that a departure survives the loss of nodes. They do not ensure that every node in contact with a
+// majority applies the departure. For this purpose, the following steps must happen within the drain time:
 //
 //   - A node with a disk sends the departure to all other nodes with a disk. The first node that has the departure
 //     sends it to each of these nodes. A node that the first node does not reach gets the departure from another node
@@ -39,8 +40,8 @@
 type pendingCall struct {
 	ticket    Ticket
 	entry     *entry
-	requested departureState
-	since     time.Duration
+	requested departureState // the departure that the call reports
+	since     time.Duration  // time of the call
 }
 
 // nextCheckAt returns the next time at which the call must be checked.
@@ -51,15 +52,15 @@
 	return p.since + minCopiesTimeout
 }
 
-// rejectCall answers the last call as not confirmed, because the registry has no room for the backend or the call has no
-// backend id.
+// rejectCall answers the last call as not confirmed and returns its ticket. A call is rejected if the registry is full or
+// if the call has no backend id.
 func (r *Registry) rejectCall() Ticket {
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
 	return r.lastTicket
 }
 
-// answerOrStoreCall answers the last call at once if its result is known. Otherwise it stores the call until other nodes have the
-// departure.
+// answerOrStoreCall answers the last call at once if decideCall decides it. Otherwise it stores the call as pending. It also
+// sends the departure that the call reports to each peer that does not have the departure yet.
 func (r *Registry) answerOrStoreCall(e *entry, requested departureState) {
 	call := pendingCall{ticket: r.lastTicket, entry: e, requested: requested, since: r.now}
 	if requested != notDeparting {
@@ -84,7 +85,7 @@
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: call.ticket, OwnerAddr: owner.ControlAddr, Confirmed: confirmed})
 }
 
-// answerDecidedCalls answers all pending calls whose result is known.
+// answerDecidedCalls answers and removes all pending calls that decideCall decides.
 func (r *Registry) answerDecidedCalls() {
 	r.pendingCalls = slices.DeleteFunc(r.pendingCalls, func(call pendingCall) bool {
 		confirmed, decided := r.decideCall(call)
@@ -95,10 +96,11 @@
 	})
 }
 
-// decideCall reports whether a call can be answered now, and whether it is confirmed. A departure is confirmed when all peers
-// that this node sends updates to have it, and MinCopies nodes with a disk have it. These nodes forward the departure to
-// the remaining nodes. After allCopiesTimeout, MinCopies copies and one other node that has the departure are sufficient.
-// If too few nodes with a disk are reachable, the call fails at once, because another node may reach enough of them.
+// decideCall reports in decided whether a call can be answered now, and in confirmed with which result. A departure is
+// confirmed when MinCopies nodes with a disk have it and all peers that this node sends updates to have it. These nodes
+// forward the departure to the remaining nodes. After allCopiesTimeout, MinCopies copies are sufficient if at least one
+// other node has the departure. If too few nodes with a disk are reachable, the call fails at once, because another node
+// may reach enough of them.
 func (r *Registry) decideCall(call pendingCall) (confirmed, decided bool) {
 	if call.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
@@ -118,10 +120,10 @@
 // copyCounts counts the nodes that are known to have a departure. Only nodes with a disk count as copies. If no node with
 // a disk is known, every node counts.
 type copyCounts struct {
-	required int // copies needed to confirm the departure
-	// Number of reachable nodes whose copies count, including this node.
+	required int // number of copies needed to confirm the departure
+	// Number of reachable nodes whose copies count. This node is included if its copy counts.
 	reachable int
-	// Number of these reachable nodes that have the departure.
+	// Number of the nodes in reachable that have the departure.
 	confirmed int
 	// Number of other nodes that have the departure, whether or not their copies count.
 	notifiedPeers int
@@ -159,7 +161,7 @@
 	return c
 }
 
-// recordNotified records that a node has a departure of the backend.
+// recordNotified records that the node s has the departure d of the backend.
 func (e *entry) recordNotified(s Slot, d departureState) {
 	if e.notified == nil {
 		e.notified = map[Slot]departureState{}
@@ -184,8 +186,8 @@
 	return ids
 }
 
-// rebroadcastDepartures sends departures again to all other reachable nodes with a disk. A lost node with a disk may not
-// have received these departures, and the other nodes may still reach it.
+// rebroadcastDepartures sends departures again to all reachable nodes with a disk. A lost node with a disk may not have
+// received these departures. The reachable nodes may still reach the lost node and forward the departures to it.
 func (r *Registry) rebroadcastDepartures(ids []string) {
 	for _, id := range ids {
 		for _, s := range r.peerSlots {
@@ -206,8 +208,8 @@
 	return slots
 }
 
-// forwardDepartures forwards the departures of a message to the nodes with a disk that the sender does not reach. Only a
-// node with a disk forwards them.
+// forwardDepartures forwards the departures of a message to the nodes with a disk that the sender does not reach. It does
+// nothing if this node has no disk.
 func (r *Registry) forwardDepartures(m *Message) {
 	if !r.local.HasDisk {
 		return
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -13,8 +13,8 @@
 	maxUpdatesPerMessage = 64
 )
 
-// sendsUpdatesTo reports whether this node sends its updates to a peer. While a node with a disk is live, only nodes with
-// a disk and this node's followers receive updates. Otherwise all live peers do.
+// sendsUpdatesTo reports whether this node sends its updates to a peer. While a node with a disk is live, the node sends
+// updates only to live nodes with a disk and to its followers. Otherwise it sends updates to all live peers.
 func (r *Registry) sendsUpdatesTo(p *peer) bool {
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
@@ -23,9 +23,9 @@
 // Any other record is delayed by at most batchDelay and sent together with other changes.
 func (r *Registry) broadcastRecord(e *entry, urgent bool) { r.forwardRecord(e, nil, urgent) }
 
-// forwardRecord enqueues a backend's record for all peers that this node sends updates to, except from, the peer that sent the
-// record. A node with a disk has already sent the record to all other nodes with a disk, so that its records are forwarded
-// to followers only. from is nil if the record did not come from a peer.
+// forwardRecord enqueues a backend's record for all peers that this node sends updates to, except for the peer "from" that
+// sent the record. If this peer has a disk, it has already sent the record to all other nodes with a disk. The record is
+// then forwarded only to peers without a disk. from is nil if the record did not come from a peer.
 func (r *Registry) forwardRecord(e *entry, from *peer, urgent bool) {
 	for _, s := range r.peerSlots {
 		if p := r.peers[s]; p != from && r.sendsUpdatesTo(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
@@ -34,7 +34,8 @@
 	}
 }
 
-// enqueueUpdate schedules a backend's record for a peer. The message carries the record as it is when the message is sent.
+// enqueueUpdate enqueues the record of a backend for a peer. The message will carry the state of the record at the time of
+// sending.
 func (r *Registry) enqueueUpdate(p *peer, id string, urgent bool) {
 	at := r.now
 	if !urgent {
@@ -50,8 +51,8 @@
 	}
 }
 
-// relayHeartbeat relays a heartbeat to a node. A lost relayed heartbeat is not resent, because the next heartbeat replaces
-// it.
+// relayHeartbeat enqueues the record of a backend as a heartbeat for the node s. A relayed heartbeat that gets lost is not
+// resent, because the backend's next heartbeat replaces it.
 func (r *Registry) relayHeartbeat(e *entry, s Slot) {
 	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
 		r.activate(p)
@@ -59,7 +60,7 @@
 	}
 }
 
-// reportSuspicion tells a backend's owner that another backend may have the same address.
+// reportSuspicion enqueues a suspicion for the backend's owner, if the owner is a live peer.
 func (r *Registry) reportSuspicion(e *entry) {
 	e.ownerSince = r.now
 	if p := r.peers[e.record.Owner]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
@@ -68,7 +69,8 @@
 	}
 }
 
-// nextMessage returns the next message for a peer. ok is false if there is none.
+// nextMessage returns the next message for a peer. ok is false if there is nothing to send. A peer that is not live is sent
+// acknowledgements only.
 func (r *Registry) nextMessage(p *peer) (m Message, ok bool) {
 	m.Acks, p.acks = p.acks, nil
 	if !p.node.Live {
@@ -89,8 +91,8 @@
 	return m, true
 }
 
-// newInFlightMessage moves the pending suspicions of a peer, its full sync marker and, if updatesDue is true, its pending
-// updates into one message in flight.
+// newInFlightMessage moves the pending suspicions and the full sync marker of a peer into a new message in flight. If
+// updatesDue is true, it also moves up to maxUpdatesPerMessage pending updates.
 func (r *Registry) newInFlightMessage(p *peer, updatesDue bool) *inFlightMessage {
 	p.seq++
 	f := &inFlightMessage{seq: p.seq, sentAt: r.now, suspicions: p.suspicions, fullSync: p.fullSyncNext}
@@ -111,7 +113,7 @@
 	return f
 }
 
-// fillMessage adds the records of a message in flight to m, as they are now.
+// fillMessage copies a message in flight to m, with the present state of its records.
 func (r *Registry) fillMessage(m *Message, f *inFlightMessage) {
 	m.Seq, m.FullSync = f.seq, f.fullSync
 	departs := false
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -11,51 +11,52 @@
 	// maxBackends limits the number of entries, tombstones included. It is more than the backends of any deployment
 	// (docs/CAPACITY.md).
 	maxBackends = 8192
-	// maxTombstones limits the number of entries of gone backends. A fleet that starts and stops backends in a loop therefore
-	// leaves room for live backends.
+	// maxTombstones limits the number of entries of gone backends. Space for live backends therefore remains even if backends
+	// are started and stopped in a loop.
 	maxTombstones = 4096
-	// tombstoneTTL is how long the registry remembers a gone backend. It is longer than the delay of any message about the
-	// backend.
+	// tombstoneTTL is how long the registry keeps the entry of a gone backend. The duration is longer than the delay of any
+	// message about the backend.
 	tombstoneTTL = 60 * time.Second
 	// never is a deadline that is never reached.
 	never = time.Duration(1<<63 - 1)
 )
 
-// entry is the state of one backend. The Phase, SlowStartLeft and Age of its record are unused. See recordOf.
+// entry is the state of one backend. The fields Phase, SlowStartLeft and Age of its record are unused. recordOf computes
+// them.
 type entry struct {
 	record Record
 	// True if the backend is timed out at exactly the Seq and FencingToken of record.
 	timedOut       bool
-	goneAt         time.Duration
-	firstSeenAt    time.Duration // when any node first saw it
+	goneAt         time.Duration // time at which the phase last became Gone
+	firstSeenAt    time.Duration // time at which any node first saw the backend
 	slowStartUntil time.Duration
 	// Time of the last heartbeat that this node knows of, or of the last change of owner if that is later.
 	lastSeenAt time.Duration
 	// Time at which this node learned of the owner. It is also set when the owner is sent a suspicion, or the next owner is
 	// sent the record.
 	ownerSince time.Duration
-	syncedAt   time.Duration // when the sync source last sent an update of it
+	syncedAt   time.Duration // time of the last update of the backend from Registry.syncSource
 	// Time of the last heartbeat that this node received, from the backend or relayed.
 	lastHeartbeatAt time.Duration
 	// True if the newest known heartbeat came from the backend itself.
 	directHeartbeat bool
 	// Time before which this node does not take over the backend, because another node still reaches its owner.
 	noTakeoverUntil time.Duration
-	// True if the backend is timed out by an observation of this node that its owner has not confirmed yet.
+	// True if this node timed out the backend by a suspicion that the owner has not confirmed yet.
 	suspected bool
 	// The furthest departure that each node is known to have.
 	notified map[Slot]departureState
 
-	changeQueued       bool // is in Registry.changedEntries
-	published          Record
-	publishedSlowStart time.Duration
-	everPublished      bool // published is set
+	changeQueued       bool          // the entry is in Registry.changedEntries
+	published          Record        // record of the last Changed action
+	publishedSlowStart time.Duration // SlowStartUntil of the last Changed action
+	everPublished      bool          // a Changed action was returned
 }
 
-// departureState returns how far the backend has departed.
+// departureState returns the departure state of the backend.
 func (e *entry) departureState() departureState { return e.record.departureState() }
 
-// phase returns the phase of the backend, without regard to other backends at its address. See visiblePhase.
+// phase returns the phase of the backend, without regard to other backends at its address (visiblePhase regards them).
 func (e *entry) phase() Phase {
 	switch {
 	case e.record.Deregistered || e.timedOut:
@@ -87,10 +88,10 @@
 	return e
 }
 
-// compareID compares the backend id of an entry with id.
+// compareID compares the backend id of an entry with id. The result is -1, 0 or 1, as that of strings.Compare.
 func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
-// recordOf returns the record of an entry as of the registry's present time.
+// recordOf returns the record of an entry with the Phase, SlowStartLeft and Age at the registry's present time.
 func (r *Registry) recordOf(e *entry) Record {
 	record := e.record
 	record.Phase = e.phase()
@@ -99,7 +100,8 @@
 	return record
 }
 
-// pruneTombstones removes tombstones that are older than tombstoneTTL, and the oldest ones if there are too many.
+// pruneTombstones removes tombstones that are older than tombstoneTTL. If there are more than maxTombstones, or no space for
+// another entry, the oldest tombstones are removed as well.
 func (r *Registry) pruneTombstones() {
 	var tombstones []*entry
 	for _, e := range r.sorted {
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -8,10 +8,10 @@
 const (
 	// maxFullSyncs limits the number of followers that are synced at the same time.
 	maxFullSyncs = 16
-	// departureRetention is how long a new follower is still sent the departure of a gone backend. The follower may have been
-	// isolated and may still send requests to the backend.
+	// departureRetention is the time after the end of a backend during which its departure is still sent to a new follower.
+	// The follower may have been isolated and may still send requests to the backend.
 	departureRetention = 10 * time.Second
-	// fullSyncGrace is how long the upstream may pause during a full sync before the sync counts as ended.
+	// fullSyncGrace is the time without an update from the upstream after which a full sync counts as ended.
 	fullSyncGrace = 3 * time.Second
 	// fullSyncTimeout limits the total duration of a full sync.
 	fullSyncTimeout = 10 * time.Second
@@ -24,14 +24,15 @@
 	zoneOnly bool
 }
 
-// SyncPeer syncs a node that has reconnected or that has begun to follow this node. It does nothing if the node is unknown.
+// SyncPeer sends a node the records that the node may lack. The host calls it when a node has reconnected. It does nothing
+// if the node is unknown.
 //
-//   - A follower receives all backends that are not gone.
+//   - A follower receives all backends that are not gone, and recent departures (departureRetention).
 //   - Nodes with a disk send each other all departures, the backends that they own, the backends that the receiver
-//     should own, and the backends of a lost owner that the sender would take over. Together they send one node the
-//     complete registry.
+//     should own, and the backends of a lost owner that the sender would take over. The syncs of all nodes with a disk
+//     together give the receiver the complete registry.
 //   - A node without a disk sends a node with a disk the departures of backends that are not gone. The node without a
-//     disk sends the other records that the receiver lacks at a later time (reportMissingBackends).
+//     disk later also sends the other records that the receiver lacks (reportMissingBackends).
 func (r *Registry) SyncPeer(s Slot) {
 	p := r.peers[s]
 	if p == nil {
@@ -86,8 +87,8 @@
 }
 
 // startSyncs starts queued syncs while fewer than maxFullSyncs are running. After the loss of all nodes, every follower
-// asks for a full sync at the same time. If all followers were synced together, each follower would receive its records
-// so late that it would stop waiting and ask another node for all records again.
+// needs a full sync at the same time. If all followers were synced together, each follower would receive its records so
+// late that the follower would time out and request all records from another node.
 func (r *Registry) startSyncs() {
 	if len(r.syncQueue) == 0 {
 		return
@@ -116,13 +117,14 @@
 	}
 }
 
-// isRelevantToFollower reports whether a backend is part of the sync of a follower. This holds for backends that are not
-// gone, and for gone backends whose departure the follower may not know.
+// isRelevantToFollower reports whether a backend is part of the sync of a follower. Backends that are not gone are part of
+// it, and so are backends that departed less than departureRetention ago.
 func (r *Registry) isRelevantToFollower(e *entry) bool {
 	return e.phase() != Gone || e.departureState() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
-// trackReceivedFullSync tracks the progress of the full sync that another node sends to this node.
+// trackReceivedFullSync records the start of a full sync that another node sends to this node. Each further update of the
+// sync postpones the time of reportMissingBackends.
 func (r *Registry) trackReceivedFullSync(from Slot, m *Message) {
 	if m.FullSync {
 		r.syncSource, r.syncStartedAt, r.reportMissingAt = from, r.now, r.now+fullSyncGrace
@@ -132,8 +134,8 @@
 	}
 }
 
-// reportMissingBackends sends the upstream the backends that its full sync left out, after the sync has ended. Either the
-// upstream learns of backends that it should have had, or this node learns that they are gone.
+// reportMissingBackends sends the upstream the records of the backends that its full sync left out. It does nothing before
+// the sync has ended. The upstream either adopts such a record or answers that the backend is gone.
 func (r *Registry) reportMissingBackends() {
 	if r.now < r.reportMissingAt {
 		return
