--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -49,7 +49,7 @@
 	Conclusive
 )
 
-// evidenceWeights holds the weight of each kind of evidence in the modes Strict and Patient.
+// evidenceWeights holds the weight of each kind of evidence in the modes Strict and Patient. Weights are defined nowhere else.
 var evidenceWeights = [evidenceKindCount][modeCount]Weight{
 	ServerError: {ByRate, ByRate},
 	// An answer to a patient request that is missing at the time-out may only be late.
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -81,7 +81,8 @@
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service.
+// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service, and no other
+// node had confirmed the evidence.
 func (s *State) recordRefutation(w Slot) {
 	n := s.refutationCount(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -7,12 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// partitionNodes drops all messages between two nodes from now on. The nodes notice it at the next updateNodes.
+// partitionNodes drops all messages between two nodes from now on. The nodes notice the partition at the next updateNodes.
 func (f *fleet) partitionNodes(a, b Slot) {
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// sendDrainCall has a backend report at a node that it is draining. answered is false if the node has not answered yet.
+// sendDrainCall has a backend send a call to the node at, which reports that the backend is draining. It returns the answer.
+// answered is false if the node has not answered yet.
 func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(b.Record)
@@ -21,11 +22,10 @@
 	return a, answered
 }
 
-// TestDepartureNeedsMinCopies guards against departures that are confirmed with too few copies. The number of copies must
-// be one more than the number of tolerated losses, however few nodes are reachable. In the first moments of a partition a
-// node without a disk reached only its upstream, and a node with a disk only its followers, and copies at all reachable
-// nodes were taken as sufficient. If too few nodes with a disk are reachable, the call must fail at once, so that the
-// backend turns to the next node.
+// TestDepartureNeedsMinCopies guards against departures that are confirmed with too few copies. Copies at all reachable
+// nodes were once taken as sufficient, although at the start of a partition a node without a disk reached only its upstream,
+// and a node with a disk only its followers. If fewer than MinCopies nodes with a disk are reachable, the call must fail at
+// once, so that the backend calls the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
 	for _, at := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestDepartureWaitsForAnotherDisk checks that a departure stays unconfirmed while the only other reachable node with a
-// disk does not acknowledge the departure. Once that node acknowledges it, the departure must be confirmed. The call must
-// not wait for followers that cannot answer.
+// TestDepartureWaitsForAnotherDisk guards against a departure that is confirmed although the only other reachable node with
+// a disk has not acknowledged the departure. Once that node acknowledges the departure, the departure must be confirmed. The
+// call must not wait for followers that cannot answer.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
@@ -73,9 +73,9 @@
 	must.True(t, answered && a.Confirmed)
 }
 
-// TestDepartureInRelayedHeartbeatIsBroadcast guards against followers that never receive a departure. A relayed heartbeat
-// may carry a departure before its update arrives, while updates to this node wait for acknowledgements. The later update
-// then changed nothing and was not forwarded. The departure in the heartbeat must be forwarded like any other.
+// TestDepartureInRelayedHeartbeatIsBroadcast guards against followers that never receive a departure. If updates to a node
+// are delayed, a relayed heartbeat with a departure may arrive before the update with the same departure. The later update
+// then changed nothing and was not forwarded. The departure in the heartbeat must therefore be broadcast.
 func TestDepartureInRelayedHeartbeatIsBroadcast(t *testing.T) {
 	for registrar := range Slot(3) {
 		f := newFleet(t, 6, 3)
@@ -91,9 +91,10 @@
 	}
 }
 
-// TestDeparturesAreRelayedAroundPartition checks a partition between only two nodes with a disk. Both reach a majority
-// through the third, and both have followers. A departure that one of them has must reach the other through the third,
-// whichever node has it first. This includes a departure that was in flight when the partition was noticed.
+// TestDeparturesAreRelayedAroundPartition guards against a departure that does not pass a partition between two of the three
+// nodes with a disk. Both nodes are in contact with a majority, because both reach the third node with a disk. A departure
+// that one of the two nodes has must reach the other through the third, whichever node receives the call. This also holds for
+// a departure that was in flight when the partition was noticed.
 func TestDeparturesAreRelayedAroundPartition(t *testing.T) {
 	for at := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
@@ -104,9 +105,9 @@
 	}
 }
 
-// requireDrainAroundPartition partitions nodes 0 and 1 from each other and drains the backend at the node at. All nodes
-// must then know the departure, and must stop sending it. noticed tells whether the nodes notice the partition before the
-// call or after it.
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node at.
+// All nodes must then know the departure and must stop sending it. If noticed is true, the nodes notice the partition before
+// the call, otherwise after the call.
 func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
@@ -128,11 +129,11 @@
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("the departure is sent in a loop, called at node ", at))
+	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", at))
 }
 
-// TestNewFollowerReceivesDepartures guards against requests to a deregistered backend for the duration of a full sync. A
-// new follower must be sent the departure as well, although the full sync otherwise covers only backends that are not
+// TestNewFollowerReceivesDepartures guards against a new follower that keeps sending requests to a backend that deregistered
+// while the follower was isolated. The full sync must include recent departures in addition to the backends that are not
 // gone.
 func TestNewFollowerReceivesDepartures(t *testing.T) {
 	f := newFleet(t, 4, 3)
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -8,12 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// upstreamFixture is a node with a disk that many nodes begin to follow at once. This happens after the loss of all nodes.
+// upstreamFixture is a node with a disk that many nodes begin to follow at the same time, as after the loss of all nodes.
 type upstreamFixture struct {
 	registry    *Registry
-	recordsSent map[Slot]int  // by receiver
+	recordsSent map[Slot]int  // number of records sent, by receiver
 	unacked     []pendingAck  // acknowledgements to be delivered
-	fullSyncs   map[Slot]bool // receivers of a full sync marker
+	fullSyncs   map[Slot]bool // receivers of a message that starts a full sync
 }
 
 // pendingAck is an acknowledgement that the node receives at a later time.
@@ -23,7 +23,7 @@
 	seq   uint64
 }
 
-// sameZone puts all backends and followers into one zone.
+// sameZone returns the same zone for every backend and follower.
 func sameZone(int) string { return "" }
 
 // newUpstreamFixture returns a node with the given numbers of backends and followers. zone returns the zone of the backend
@@ -44,8 +44,8 @@
 	return c
 }
 
-// takeMessages takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
-// the number of updates in them.
+// takeMessages takes all messages that the node sends now and returns the number of updates in them. The acknowledgement of
+// each message is delivered after the delay after.
 func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
@@ -58,7 +58,7 @@
 	return sent
 }
 
-// runUntil advances the clock to t and delivers acknowledgements when they are due.
+// runUntil advances the clock to t. The acknowledgement of each message is delivered after the delay after.
 func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
 	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. With little processor time,
-// each follower received its records so late that it stopped waiting and asked another node for all records again. With
-// 300 nodes, the nodes did no other work and served no requests for half a minute.
+// TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. On a busy machine, each follower
+// received its records so late that the follower timed out and requested all records from another node. With 300 nodes, the
+// nodes served no requests for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newUpstreamFixture(backends, followers, sameZone)
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. They added load to a
-// node that was already busy.
+// TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. Such resends added load
+// to a receiver that was already overloaded.
 func TestLateAcksCauseFewResends(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newUpstreamFixture(backends, followers, sameZone)
@@ -105,12 +105,12 @@
 	for s := range followers {
 		must.GreaterEq(t, backends, c.recordsSent[Slot(s+1)])
 	}
-	// Resends each 300 ms sent 3.7 times as many records.
+	// With a resend every 300 ms, the node sent 3.7 times as many records as without resends.
 	must.LessEq(t, 2*backends*followers, sent())
 }
 
-// TestLostFollowersEndTheirFullSyncs checks that a full sync ends when its follower is lost, and that the next queued one
-// then starts.
+// TestLostFollowersEndTheirFullSyncs guards against full syncs of lost followers that count as running forever. A full sync
+// must end when its follower is lost, and the next queued full sync must then start.
 func TestLostFollowersEndTheirFullSyncs(t *testing.T) {
 	c := newUpstreamFixture(1000, 2*maxFullSyncs, sameZone)
 	c.takeMessages(time.Hour)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestIdlePeersAreNotVisited guards against inputs that visit all peers. An input must visit only the peers that it
-// concerns, and none if there is nothing to send. When all peers were visited, a heartbeat cost three times as much with
-// 300 nodes as with 100.
+// TestIdlePeersAreNotVisited guards against a cost of inputs that grows with the number of peers. Next must check only the
+// peers to which something is to be sent or which have not acknowledged a message. When Next checked all peers, a heartbeat
+// cost three times as much with 300 nodes as with 100.
 func TestIdlePeersAreNotVisited(t *testing.T) {
 	c := newUpstreamFixture(100, 50, sameZone)
 	c.takeMessages(time.Hour)
@@ -152,10 +152,10 @@
 	must.False(t, New(0, Config{}, 0).HasReadyBackend())
 }
 
-// TestFullSyncSendsOwnZoneFirst guards against a long wait after the loss of all nodes: hundreds of nodes waited on slow
-// links for the last of hundreds of backends. A follower can serve requests with the backends of its zone alone. These
-// backends must be sent to all waiting followers before the next full sync starts. The limit maxFullSyncs applies to these
-// syncs too.
+// TestFullSyncSendsOwnZoneFirst guards against a long start-up after the loss of all nodes. On slow links, hundreds of
+// followers waited until all records of hundreds of backends had arrived. A follower can serve requests with the backends of
+// its zone alone. These backends must be sent to all waiting followers before further full syncs start. The limit
+// maxFullSyncs applies to the syncs of a zone too.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
@@ -185,7 +185,7 @@
 		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs had no zone sync queued ahead of them.
 			must.MapLen(t, followers, inZone)
 			for s := range inZone {
-				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("node %d at %v", s, now))
+				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("backends of the own zone that were sent before further full syncs: node=%d time=%v", s, now))
 			}
 		}
 		for _, ack := range c.unacked {
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -6,7 +6,8 @@
 // slow start. Each heartbeat reports the remaining time with a small deviation.
 const slowStartTolerance = 500 * time.Millisecond
 
-// merge merges an update into the entry of a backend. It reports whether the backend was gone and no longer is.
+// merge merges an update into the entry of a backend. It reports whether the update changed the phase from Gone to another
+// phase.
 //
 // The result does not depend on the order or the repetition of updates. The record with the highest Seq determines what
 // the backend reports about itself, and the record with the highest fencing token determines its owner. Departures are
@@ -25,7 +26,8 @@
 		e.lastSeenAt, e.directHeartbeat = r.now, false
 	}
 	if update.FencingToken > e.record.FencingToken ||
-		// Two nodes took the backend over at the same time. Any tie-break is correct if all nodes apply the same one.
+		// The fencing tokens are equal if two nodes took the backend over at the same time. All nodes then choose the owner with
+		// the higher slot.
 		update.FencingToken == e.record.FencingToken && update.Owner > e.record.Owner {
 		r.setOwner(e, update.Owner, update.LostOwner)
 	}
@@ -38,7 +40,7 @@
 	return before == Gone && e.phase() != Gone
 }
 
-// mergeDetails applies what the backend reports about itself.
+// mergeDetails applies the fields of an update that the backend reports about itself, except for departures.
 func (r *Registry) mergeDetails(e *entry, update Record) {
 	if e.record.Addr != update.Addr {
 		r.reindexAddr(e, update.Addr)
@@ -50,11 +52,11 @@
 	}
 }
 
-// setOwner sets the owner of a backend, and the lost owner from which it was taken over (NoSlot if it was not).
+// setOwner sets the owner of a backend. lostOwner is the lost owner from which the backend was taken over, or NoSlot.
 func (r *Registry) setOwner(e *entry, owner, lostOwner Slot) {
 	if e.record.Owner == r.localSlot && owner != r.localSlot && r.isUnreachable(owner) {
-		// Another node reaches an owner that this node does not reach. The hold-off prevents the two nodes from taking the
-		// backend from each other forever.
+		// Another node reaches the new owner, and this node does not. The hold-off prevents this node and the new owner from
+		// taking the backend from each other forever.
 		e.noTakeoverUntil = r.now + takeoverHoldoffHeartbeats*r.config.HeartbeatInterval
 	}
 	e.record.Owner, e.record.LostOwner = owner, lostOwner
@@ -74,7 +76,8 @@
 	}
 }
 
-// timeOutBackend times out a backend.
+// timeOutBackend sets the phase of a backend to Gone until a newer heartbeat arrives, and enqueues the change for
+// publication.
 func (r *Registry) timeOutBackend(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
 	r.enqueueAddrChanges(e)
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// Node is a known node, live or not. It may be the local node.
+// Node describes a node that the local node knows, live or not. The description may be that of the local node itself.
 type Node struct {
 	Slot Slot
-	// Address at which the node receives heartbeats. If it is empty, the node cannot own backends.
+	// Address at which the node receives heartbeats. A node with an empty address cannot own backends.
 	ControlAddr string
-	// The node is preferred as owner of the backends of this zone.
+	// Zone of the node. The node is preferred as owner of the backends of this zone.
 	Zone string
-	// True if the local node reaches this node. It is ignored for the local node itself.
+	// True if the local node reaches this node. The value is ignored for the local node itself.
 	Live bool
-	// True if the node can hold a copy of a departure. Nodes with a disk are preferred as owners.
+	// True if the node has a disk. Only copies of a departure at nodes with a disk count, and these nodes are preferred as
+	// owners.
 	HasDisk bool
-	Follows bool // receives its updates from this node
+	Follows bool // true if the node receives its updates from the local node
 }
 
 // SetNodes sets all known nodes, including the local node. A peer that is no longer live or no longer listed is lost, and
@@ -24,7 +25,7 @@
 	r.ownerCandidates, r.knownCount, r.liveCount, r.hasLiveDisk, r.hasKnownDisk = r.ownerCandidates[:0], 0, 0, false, false
 	knownSlots := map[Slot]bool{}
 	var toSync []Slot
-	var undelivered []string // departures that a lost node with a disk may lack
+	var undelivered []string // ids of the backends whose departure a lost node with a disk may not have received
 	for _, n := range nodes {
 		if n.Slot < 0 {
 			continue
@@ -51,9 +52,9 @@
 	r.answerDecidedCalls()
 }
 
-// updatePeer updates the state of another node. needsSync reports whether the node must be synced because it has become
-// live, has acquired a disk or has begun to follow this node. undelivered lists the backends whose departure the node may
-// not have received, if the node is lost.
+// updatePeer updates the state of another node. needsSync is true if the node must be synced, because it has become live,
+// has acquired a disk or has begun to follow this node. If the node has a disk and is no longer live, undelivered lists the
+// ids of the backends whose departure the node may not have received.
 func (r *Registry) updatePeer(n Node) (needsSync bool, undelivered []string) {
 	p := r.findOrCreatePeer(n.Slot)
 	switch {
@@ -73,7 +74,8 @@
 	return needsSync, undelivered
 }
 
-// updateNodeCounts updates the flags for nodes with a disk, and adds a live node with a control address to the owner candidates.
+// updateNodeCounts updates hasKnownDisk, hasLiveDisk and the owner candidates with a known node. Only a live node with a
+// control address becomes an owner candidate.
 func (r *Registry) updateNodeCounts(n Node) {
 	r.hasKnownDisk = r.hasKnownDisk || n.HasDisk
 	if !n.Live {
@@ -105,8 +107,8 @@
 	r.peerSlots = slices.DeleteFunc(r.peerSlots, func(s Slot) bool { return !knownSlots[s] })
 }
 
-// SetFollower records whether a node follows this node. It has the same effect as SetNodes with the changed node, without
-// processing all other nodes.
+// SetFollower records whether a node follows this node. It has the same effect as SetNodes in which only this node changed,
+// but does not process all other nodes.
 func (r *Registry) SetFollower(s Slot, follows bool) {
 	p := r.peers[s]
 	if p == nil || p.node.Follows == follows {
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -10,21 +10,20 @@
 	missedHeartbeats = 3
 	// ownerGraceHalfIntervals is the number of half heartbeat intervals after which another node takes over the backends of a
 	// lost owner. These 2.5 heartbeat intervals are shorter than the time-out of a backend (missedHeartbeats intervals). The
-	// new owner watches for time-outs from the takeover on, so that the loss of an owner does not look like the loss of its
-	// backends.
+	// new owner measures time-outs from the takeover on. The backends of a lost owner are therefore not timed out for
+	// heartbeats that the lost owner did not receive.
 	ownerGraceHalfIntervals = 5
-	// takeoverHoldoffHeartbeats is the number of heartbeat intervals during which this node does not take over a backend if
-	// another node reaches the backend's owner and this node does not.
+	// takeoverHoldoffHeartbeats is the number of heartbeat intervals during which this node does not take a backend over again
+	// after another node that this node does not reach has become the owner.
 	takeoverHoldoffHeartbeats = 20
-	// scanInterval is the interval between two scans of all backends. The host sleeps no longer than this while there are
-	// backends that are not gone.
+	// scanInterval is the interval between two scans of all backends. While there are backends that are not gone, the host
+	// must call Tick at least once in this interval.
 	scanInterval = 500 * time.Millisecond
 )
 
-// ownerFor returns the node that should own a backend. It chooses that node by rendezvous hashing over the owner
-// candidates and leaves out the node whose slot is passed as the argument "except". With NoSlot as that argument, no
-// node is left out. Candidates in the backend's zone are preferred. The Slot of the result is NoSlot if there is no
-// candidate.
+// ownerFor returns the node that should own a backend. It chooses the node by rendezvous hashing over the owner candidates,
+// except for the node with the slot except. If except is NoSlot, all candidates are considered. Candidates in the backend's
+// zone are preferred. The Slot of the result is NoSlot if there is no candidate.
 func (r *Registry) ownerFor(e *entry, except Slot) Node {
 	h := fnv.New64a()
 	h.Write([]byte(e.record.ID))
@@ -52,8 +51,8 @@
 	return x ^ x>>31
 }
 
-// handleHeartbeat processes a heartbeat. direct is true if it came from the backend itself, and false if another node
-// relayed it.
+// handleHeartbeat processes a heartbeat. direct is true if the backend itself sent the heartbeat to this node, and false if
+// another node relayed the heartbeat.
 func (r *Registry) handleHeartbeat(e *entry, heartbeat Record, direct bool) {
 	before, departureBefore := e.record, e.departureState()
 	revived := r.merge(e, heartbeat)
@@ -62,7 +61,7 @@
 	if e.record.Seq > before.Seq {
 		e.lastHeartbeatAt, e.directHeartbeat = r.now, direct
 	} else if e.record.Owner != NoSlot && !direct && !departureAdvanced {
-		return // The heartbeat is late.
+		return // The heartbeat is older than the newest known one.
 	}
 	owner := r.ownerFor(e, NoSlot)
 	becomesOwner := owner.Slot == r.localSlot && e.record.Owner != r.localSlot && e.phase() != Gone
@@ -79,8 +78,9 @@
 	}
 }
 
-// relayToOwners relays a heartbeat to the node that should own the backend (owner) and to the known owner, if they differ.
-// The known owner may not know yet that it is no longer the owner, and must not time out the backend.
+// relayToOwners relays a heartbeat to the node that should own the backend (owner) and, if the recorded owner is another
+// node, to the recorded owner. The recorded owner may not know yet that its ownership has ended, and must not time out the
+// backend.
 func (r *Registry) relayToOwners(e *entry, owner Slot) {
 	if owner != NoSlot && owner != r.localSlot {
 		r.relayHeartbeat(e, owner)
@@ -99,8 +99,8 @@
 	r.enqueueAddrChanges(e)
 }
 
-// scan checks all backends. It times out backends of this node, and takes over backends whose owner is lost. It also
-// resends suspicions and prunes tombstones.
+// scan checks all backends. It times out backends that this node owns, takes over backends whose owner is lost, resends
+// suspicions, reports missing backends and prunes tombstones.
 func (r *Registry) scan() {
 	r.nextScanAt = r.now + scanInterval
 	r.reportMissingBackends()
@@ -123,9 +123,9 @@
 	}
 }
 
-// checkTimeout times out a backend of this node if it missed its heartbeats or a more recently seen backend has its
-// address. A node that reaches no majority applies missed heartbeats only to backends that sent their last heartbeat
-// directly to it. The others may send their heartbeats to nodes that it does not reach.
+// checkTimeout times out a backend that this node owns if the backend missed its heartbeats or if it is displaced. If this
+// node reaches no majority, missed heartbeats count only for backends that sent their last heartbeat directly to this node.
+// Other backends may send their heartbeats to nodes that this node does not reach.
 func (r *Registry) checkTimeout(e *entry) {
 	timeout := missedHeartbeats * r.config.HeartbeatInterval
 	mayTimeOut := e.directHeartbeat || r.reachesMajority()
@@ -135,8 +135,9 @@
 	}
 }
 
-// checkOwner takes over a backend whose owner is lost, if this node is next in hashing order. A node that reaches no
-// majority takes over nothing, because the owner may be live on the other side of a partition.
+// checkOwner takes over a backend whose owner has been lost for the grace period, if ownerFor returns this node. If ownerFor
+// returns another node that does not take over, checkOwner sends that node the record. A node that reaches no majority takes
+// over nothing, because the owner may be live on the other side of a partition.
 func (r *Registry) checkOwner(e *entry) {
 	if !r.isUnreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 		return
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -10,56 +10,58 @@
 	// resendTimeout is how long a message waits for its acknowledgement before the first resend. It is several round trips of
 	// a link between zones.
 	resendTimeout = 300 * time.Millisecond
-	// maxResendDoublings is how often the resend time-out doubles. The maximum is 4.8 s.
+	// maxResendDoublings is the number of times that the resend time-out doubles. The longest time-out is 4.8 s.
 	maxResendDoublings = 4
-	// maxResends is how often a message is resent, over 14 s in all, before its receiver counts as unresponsive.
+	// maxResends is the number of times that a message is resent before its receiver counts as unresponsive. This takes more
+	// than 14 s in total.
 	maxResends = 6
 	// probeInterval is the interval between two probes of an unresponsive node.
 	probeInterval = time.Second
-	// maxInFlight limits the messages to one node that it has not acknowledged.
+	// maxInFlight limits the unacknowledged messages to one node.
 	maxInFlight = 4
-	// maxPendingAcks limits the acknowledgements that wait to be sent to one node. The node resends a message that was not
-	// acknowledged.
+	// maxPendingAcks limits the acknowledgements that wait to be sent to one node. Further acknowledgements are dropped, and
+	// the node then resends its message.
 	maxPendingAcks = 256
 )
 
-// peer is the state of another node, with the messages that it has not received or acknowledged yet.
+// peer is this node's state for another node, with the records and messages that the other node has not acknowledged yet.
 type peer struct {
 	node Node
 	// Time at which the peer was last lost or reset, initially the time at which it became known.
 	lostAt time.Duration
-	seq    uint64 // sequence number of the last message
+	seq    uint64 // sequence number of the last message to the peer
 
 	// Ids of the backends whose records wait to be sent, in order of sending.
 	pendingIDs  []string
 	pendingSet  map[string]bool    // the same ids as a set
-	sendAt      time.Duration      // when the pending records are due
+	sendAt      time.Duration      // time from which the pending records may be sent
 	inFlight    []*inFlightMessage // messages sent and not acknowledged
 	retransmits []*inFlightMessage // messages in flight that are due to be resent
-	// True if the peer has acknowledged a message since the last reset. Its messages then come from its present incarnation.
+	// True if the peer has acknowledged a message since the last reset. The messages of the peer then come from its present
+	// incarnation.
 	confirmed bool
 	// True if the peer acknowledges nothing. The peer is then only probed, and is synced when it answers a probe.
 	unresponsive bool
 
-	active       bool     // its slot is in Registry.activePeers
+	active       bool     // the peer's slot is in Registry.activePeers
 	fullSyncNext bool     // the next message starts a full sync
 	syncing      bool     // a sync of this follower is running
 	suspicions   []string // ids of suspected backends to report
-	heartbeats   []Record
-	acks         []uint64
+	heartbeats   []Record // heartbeats to relay
+	acks         []uint64 // sequence numbers to acknowledge
 }
 
-// inFlightMessage is a message that was sent and not acknowledged. A resent message carries the present records of its
-// backends. departures keeps what the first transmission reported.
+// inFlightMessage is a message that was sent and not acknowledged. A resent message carries the present records of the same
+// backends.
 type inFlightMessage struct {
 	seq uint64
 	ids []string
-	// Departures by index of ids. An acknowledgement proves that the receiver has these.
+	// Departure states in the first transmission, by index of ids. An acknowledgement proves that the receiver has them.
 	departures []departureState
 	suspicions []string
 	fullSync   bool
-	sentAt     time.Duration
-	attempts   int
+	sentAt     time.Duration // time of the last transmission
+	attempts   int           // number of time-outs so far
 }
 
 // findOrCreatePeer returns the peer with slot s, and creates it if there is none.
@@ -74,7 +76,7 @@
 	return p
 }
 
-// resetPeer discards the messages to a node and the record of the departures that it has. The node may come back in
+// resetPeer discards all messages to a peer and the knowledge of which departures the peer has. The peer may come back in
 // another incarnation that has lost all state.
 func (r *Registry) resetPeer(p *peer) {
 	p.lostAt = r.now
@@ -87,8 +89,8 @@
 	}
 }
 
-// activate adds a peer to those that Next checks for messages. Next checks only these, so that the cost of an input does
-// not grow with the number of peers that it does not concern.
+// activate adds a peer to Registry.activePeers. Next checks only these peers for messages, so that the cost of an input
+// does not grow with the number of idle peers.
 func (r *Registry) activate(p *peer) {
 	if p.active {
 		return
@@ -98,7 +100,7 @@
 	r.activePeers = slices.Insert(r.activePeers, at, p.node.Slot)
 }
 
-// deactivateIdle removes idle peers from the active ones.
+// deactivateIdle removes idle peers from Registry.activePeers.
 func (r *Registry) deactivateIdle() {
 	r.activePeers = slices.DeleteFunc(r.activePeers, func(s Slot) bool {
 		p := r.peers[s]
@@ -110,12 +112,12 @@
 	})
 }
 
-// isIdle reports whether the peer has nothing to be sent and has acknowledged all messages.
+// isIdle reports whether nothing is to be sent to the peer and the peer has acknowledged all messages.
 func (p *peer) isIdle() bool {
 	return !p.fullSyncNext && len(p.pendingIDs)+len(p.inFlight)+len(p.retransmits)+len(p.suspicions)+len(p.heartbeats)+len(p.acks) == 0
 }
 
-// nextCheckAt returns the next time at which the peer must be checked.
+// nextCheckAt returns the next time at which a message to the peer must be sent or resent, or never.
 func (p *peer) nextCheckAt() time.Duration {
 	at := never
 	for _, f := range p.inFlight {
@@ -127,10 +129,9 @@
 	return at
 }
 
-// ackTimeout returns how long a message waits for its acknowledgement. The time-out doubles after each attempt, up to
-// maxResendDoublings times. A link loses nothing while it is up. A message without an acknowledgement therefore usually
-// waits at an overloaded receiver, and an early resend only adds load. For an unresponsive peer the time-out is
-// probeInterval.
+// ackTimeout returns the time after which an unacknowledged message is resent. This time doubles after each attempt, up to
+// maxResendDoublings times. A link loses no messages while the link is up. An unacknowledged message therefore usually waits
+// at an overloaded receiver, and an early resend would only add load. For an unresponsive peer the time is probeInterval.
 func (p *peer) ackTimeout(f *inFlightMessage) time.Duration {
 	if p.unresponsive {
 		return probeInterval
@@ -138,8 +139,9 @@
 	return resendTimeout << min(f.attempts, maxResendDoublings)
 }
 
-// resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message exceeds maxResends, the
-// peer counts as unresponsive. From then on the peer is only sent an empty message as a probe, once in each probeInterval.
+// resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message has been resent maxResends
+// times, the peer counts as unresponsive. From then on the peer is only sent an empty message as a probe, once in each
+// probeInterval.
 func (r *Registry) resendOverdue(p *peer) {
 	for _, f := range p.inFlight {
 		if r.now-f.sentAt < p.ackTimeout(f) {
@@ -160,8 +162,8 @@
 	}
 }
 
-// handleAck removes an acknowledged message from those in flight, and records the departures in it as received by the
-// peer.
+// handleAck removes an acknowledged message from the messages in flight. It records that the peer has the departures that
+// the message carried.
 func (r *Registry) handleAck(p *peer, seq uint64) {
 	for i, f := range p.inFlight {
 		if f.seq != seq {
@@ -179,7 +181,8 @@
 	}
 }
 
-// hasDepartureInFlight reports whether a message in flight to the peer carries the departure d of a backend, or a later one.
+// hasDepartureInFlight reports whether a message in flight to the peer carries at least the departure state d of the backend
+// with the given id.
 func (p *peer) hasDepartureInFlight(id string, d departureState) bool {
 	for _, f := range p.inFlight {
 		if i := slices.Index(f.ids, id); i >= 0 && f.departures[i] >= d {
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// An address may pass from one backend to another while this node still has the former backend. If several backends have
-// the same address, requests see only the one whose first sighting is the most recent.
+// A new backend may use the address of a former backend that this node does not know to be gone. If several backends have
+// the same address, requests therefore see only the backend that was first seen most recently. The other backends at the
+// address are displaced.
 
 // reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
@@ -59,8 +60,8 @@
 	return false
 }
 
-// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for one
-// whose service is unknown.
+// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for a
+// backend whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
 	if e.record.Service == "" || r.isDisplaced(e) {
 		return Gone
@@ -68,7 +69,8 @@
 	return e.phase()
 }
 
-// publishIfChanged returns a Changed action if the backend differs from its last published state. It returns false otherwise.
+// publishIfChanged returns a Changed action and true if the backend differs from its last published state, and stores the
+// new state as published. Otherwise it returns false.
 func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
 	record := r.recordOf(e)
 	record.Phase = r.visiblePhase(e)
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -57,7 +57,8 @@
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
-// handleUpdate merges a record, forwards what changed, and corrects the sender if this node has newer information.
+// handleUpdate merges a received record and forwards the record if it changed anything. If this node has newer information,
+// it sends its own record to the sender (correctSender).
 func (r *Registry) handleUpdate(p *peer, update Record) {
 	e := r.findOrCreateEntry(update.ID)
 	if e == nil {
@@ -72,8 +73,8 @@
 	if update.Phase == Gone && p.node.Slot == e.record.Owner {
 		e.suspected = false
 	}
-	// A sender that reports a departure has it, provided that it has acknowledged a message in its present incarnation.
-	// A late message of a former incarnation does not prove a copy.
+	// The sender of a departure counts as a holder of the departure only if the sender has acknowledged a message in its
+	// present incarnation. A late message of a former incarnation does not prove a copy.
 	if d := update.departureState(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
 		e.recordNotified(p.node.Slot, d)
 	}
@@ -83,30 +84,31 @@
 	r.correctSender(e, p, &update, &before)
 }
 
-// forwardUpdate forwards an update to other nodes if it changed what this node knows of the backend. It also sends a new
-// backend to its known owner.
+// forwardUpdate forwards an update to other nodes if the update changed this node's record of the backend. A node with a
+// disk also sends the record of a backend that it did not know before to the backend's owner.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// If only this node suspected the backend, the owner's time-out changes nothing here, but the other nodes do not know
-	// of the time-out yet.
+	// If this node already timed out the backend by a suspicion, the owner's time-out does not change the phase. It is urgent
+	// nevertheless, because the other nodes do not know of the time-out yet.
 	urgent := e.phase() != before.phase || e.departureState() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
 	case e.record.Owner == r.localSlot && (before.record.Owner != r.localSlot || changed):
-		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be its origin.
+		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be the origin of the
+		// update.
 		r.broadcastRecord(e, urgent)
 	case r.local.HasDisk && (changed || e.slowStartUntil != before.slowStartUntil):
 		r.forwardRecord(e, from, urgent)
 	}
 	isNew := before.record.Service == "" && e.phase() != Gone
 	if owner := r.peers[e.record.Owner]; r.local.HasDisk && isNew && owner != nil && owner != from && owner.node.Live {
-		// The owner may have lost its record of the backend. It resumes watching the backend.
+		// The owner may have lost its record of the backend. With the record, the owner watches the backend again.
 		r.enqueueUpdate(owner, e.record.ID, false)
 	}
 }
 
-// reclaimOwnership takes back a backend that another node took over because that node no longer reached this node. It does
-// so only if this node still receives the backend's heartbeats. If the backend was taken over from a third node, the third
-// node is sent the record instead. The result reports whether this node took the backend back.
+// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. This
+// happens only if this node still receives the backend's heartbeats. If the backend was taken over from a third node that
+// this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
@@ -122,8 +124,8 @@
 	return false
 }
 
-// correctSender sends the record of a backend to the sender of an outdated update. If other nodes may also have applied the
-// update, it sends the record to all nodes.
+// correctSender sends the record of a backend to the sender of an outdated update. If the update is an outdated time-out,
+// which other nodes may also have applied, correctSender broadcasts the record.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
 	known := r.recordOf(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
@@ -140,8 +142,9 @@
 	}
 }
 
-// handleSuspicion times out a backend because another backend answered at its address. If the backend still exists, its
-// next heartbeat revives it.
+// handleSuspicion times out a backend because another backend answered at the same address. If the timed-out backend still
+// exists, its next heartbeat revives it. If the backend was already gone, the peer p that sent the suspicion is sent the
+// record.
 func (r *Registry) handleSuspicion(p *peer, suspicion Record) {
 	e := r.findOrCreateEntry(suspicion.ID)
 	if e == nil {
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Slot is the number of a node. It is the same at every node and in every incarnation of the node.
+// Slot is the number of a node. All nodes use the same number for the node, and the number is the same in every incarnation
+// of the node.
 type Slot int
 
-// NoSlot means no node.
+// NoSlot is the slot that stands for no node.
 const NoSlot Slot = -1
 
-// Phase is the state of a backend in its life cycle.
+// Phase is the lifecycle phase of a backend.
 type Phase uint8
 
 // The phases of a backend. Their numeric values are sent and stored.
@@ -18,7 +19,7 @@
 	Gone                  // timed out, deregistered, or displaced by another backend at its address
 )
 
-// String returns the name of the phase for operators and backends.
+// String returns the lower-case name of the phase, as operators and backends see it.
 func (p Phase) String() string {
 	switch p {
 	case Ready:
@@ -29,29 +30,31 @@
 	return "gone"
 }
 
-// Record is what a node knows about a backend. For Heartbeat, the host sets the fields up to Seq.
+// Record is what a node knows about a backend. In a call of Registry.Heartbeat, the host sets the fields up to and including
+// Seq.
 type Record struct {
 	ID string
-	// Service is empty if only the id is known, from a departure that came before any heartbeat.
+	// Service is empty if the node has received a deregistration of the backend but no heartbeat yet.
 	Service       string
 	Addr          string // host:port
 	Zone          string
 	Generation    string
-	Capacity      int           // concurrent requests
-	Phase         Phase         // never Gone in a heartbeat, see Deregister
-	SlowStartLeft time.Duration // remaining slow start at the time of the record
-	Seq           uint64        // the backend's own count of its calls (call_seq)
+	Capacity      int           // maximum number of concurrent requests
+	Phase         Phase         // Ready or Draining in a heartbeat
+	SlowStartLeft time.Duration // remaining slow start when the record was made
+	Seq           uint64        // sequence number of the backend's last call, assigned by the backend (call_seq)
 
 	// True once the backend has reported that it is draining. It is never reset.
 	Draining bool
 	// True once the backend has deregistered. Nothing revives it afterwards.
 	Deregistered bool
-	// Time since any node first saw the backend, at the time of the record.
+	// Time from the first sighting of the backend by any node to the making of the record.
 	Age   time.Duration
-	Owner Slot // node that watches the backend
+	Owner Slot // node that watches the backend for missed heartbeats
 	// Number of changes of owner. 0 means that there has been no owner.
 	FencingToken uint64
-	// Former owner that the present owner no longer reached when it took over. Otherwise it is NoSlot.
+	// Former owner from which the present owner took the backend over because it no longer reached the former owner. NoSlot
+	// if the present owner did not take the backend over from a lost owner.
 	LostOwner Slot
 }
 
@@ -61,7 +64,7 @@
 		r.Capacity != other.Capacity || r.FencingToken != other.FencingToken || r.Owner != other.Owner
 }
 
-// departureState returns how far the backend has departed according to the record.
+// departureState returns the departure state of the backend according to the record.
 func (r *Record) departureState() departureState {
 	switch {
 	case r.Deregistered:
@@ -72,7 +75,7 @@
 	return notDeparting
 }
 
-// departureState is how far a backend has departed. It never decreases.
+// departureState is the progress of a backend's departure. It never decreases.
 type departureState uint8
 
 const (
@@ -93,6 +96,6 @@
 	Acks       []uint64 // Seq of the received messages
 	// True if the sender starts a full sync with this message.
 	FullSync bool
-	// Nodes with a disk that the sender does not reach and the receiver may reach. It is set if Updates contains departures.
+	// Nodes with a disk that the sender does not reach and the receiver may reach. Set only if Updates contains departures.
 	Unreachable []Slot
 }
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -6,8 +6,8 @@
 	"clovergap/internal/invariant"
 )
 
-// stallThreshold is the clock step above which this process counts as stalled. Without a stall, the host ticks at least
-// every scanInterval.
+// stallThreshold is the step between two calls of Tick above which this process counts as stalled. Without a stall, the
+// host calls Tick at least once in each scanInterval.
 const stallThreshold = time.Second
 
 // Config holds the settings of a registry.
@@ -16,7 +16,8 @@
 	// Number of nodes with a disk that must have a departure before it is confirmed. It is the number of tolerated losses
 	// plus 1.
 	MinCopies int
-	// A number that differs between two runs of this node, so that acknowledgements to a former run match no message.
+	// A number that differs between two incarnations of this node. Acknowledgements to a former incarnation then match no
+	// message of the present one.
 	Incarnation  uint32
 	TestingKnobs TestingKnobs // empty in a release build
 }
@@ -26,7 +27,7 @@
 	localSlot Slot
 	config    Config
 	now       time.Duration
-	// Earliest time from which time-outs of backends and owners are measured.
+	// Time-outs of backends and owners are measured from this time at the earliest.
 	timeoutFloor time.Duration
 	nextScanAt   time.Duration
 	wakeAt       time.Duration // deadline of the last Wake
@@ -34,17 +35,17 @@
 	entries   map[string]*entry
 	sorted    []*entry // all entries, sorted by id
 	byAddr    map[string][]*entry
-	goneCount int    // entries whose phase is Gone
+	goneCount int    // number of entries whose phase is Gone
 	refused   uint64 // see Status.Refused
 
 	// State of the nodes as of the last SetNodes.
-	hasNodes        bool // SetNodes was called
+	hasNodes        bool // true if SetNodes was called
 	local           Node
 	ownerCandidates []Node // sorted by slot
 	knownCount      int    // number of other nodes, live or not
 	liveCount       int    // number of other live nodes
-	hasLiveDisk     bool   // a node with a disk is live
-	hasKnownDisk    bool   // a node with a disk is known, live or not
+	hasLiveDisk     bool   // true if a node with a disk is live
+	hasKnownDisk    bool   // true if a node with a disk is known, live or not
 
 	peers     map[Slot]*peer
 	peerSlots []Slot // slots of peers, sorted
@@ -53,15 +54,15 @@
 	syncQueue   []syncRequest // followers that wait for a sync
 
 	// State of the full sync that this node receives from its upstream.
-	syncSource    Slot // node that last began a full sync to this node
-	syncStartedAt time.Duration
-	// Time at which the upstream is sent the backends that its full sync left out. The value is the constant never if these
-	// backends were sent, or if no full sync was received.
+	syncSource    Slot          // node that last started a full sync to this node, or NoSlot
+	syncStartedAt time.Duration // time at which that full sync started
+	// Time at which the backends that the full sync left out are sent to the upstream (reportMissingBackends). The value is
+	// the constant never if these backends were already sent, or if no full sync was received.
 	reportMissingAt time.Duration
 
-	lastTicket       Ticket
+	lastTicket       Ticket // ticket of the last call
 	pendingCalls     []pendingCall
-	acknowledgements []Action // answers to be returned by Next
+	acknowledgements []Action // Acknowledge actions that Next has not returned yet
 	// Entries that may differ from their last published state.
 	changedEntries []*entry
 }
@@ -80,8 +81,8 @@
 	r.config = config
 }
 
-// Tick advances the clock to now. A time earlier than the present one is ignored. A step above stallThreshold means that
-// this process was stalled and could read no heartbeats, so that all time-outs restart.
+// Tick advances the clock to now and does the work that has become due. A time earlier than the present one is ignored. A
+// step above stallThreshold means that this process was stalled and could read no heartbeats. All time-outs then restart.
 func (r *Registry) Tick(now time.Duration) {
 	if now < r.now {
 		return
@@ -143,10 +144,10 @@
 	return r.lastTicket
 }
 
-// Restore loads the records that this node's disk stored. They may be outdated. Each backend is therefore watched for a
-// time-out from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes, a
-// restore saves the wait for the first heartbeats. If a record is wrong, a request cannot be sent, or another backend
-// answers the request with HTTP 421.
+// Restore loads the records that this node's disk stored. The records may be outdated. The time-out of each backend is
+// therefore measured from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes,
+// a restore saves the wait for the first heartbeats. A request to a backend with an outdated address fails to connect, or
+// another backend answers the request with HTTP 421.
 func (r *Registry) Restore(records []Record) {
 	for _, record := range records {
 		if e := r.findOrCreateEntry(record.ID); e != nil && record.Phase != Gone {
@@ -156,8 +157,9 @@
 	}
 }
 
-// ReportAddressConflict records that another backend answers at the address of this backend (HTTP 421). The backend is
-// timed out at this node, and its owner is sent the suspicion. The next heartbeat of the backend revives it at all nodes.
+// ReportAddressConflict records that another backend answers at the address of the backend with the given id (HTTP 421).
+// The backend is timed out at this node, and the backend's owner is sent the suspicion. The next heartbeat of the backend
+// revives it at all nodes.
 func (r *Registry) ReportAddressConflict(id string) {
 	e := r.entries[id]
 	if e == nil || e.phase() == Gone {
@@ -206,7 +208,7 @@
 	return nil, false
 }
 
-// nextWake returns the next time at which Tick must be called, or never.
+// nextWake returns the latest time by which Tick must be called, or never if nothing is scheduled.
 func (r *Registry) nextWake() time.Duration {
 	at := never
 	if len(r.entries) > r.goneCount {
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -20,15 +20,15 @@
 	now         time.Duration
 	registries  map[Slot]*Registry
 	live        map[Slot]bool
-	partitioned map[[2]Slot]bool // sender and receiver whose messages are lost
-	// Number of nodes with a disk. These have the lowest slots.
+	partitioned map[[2]Slot]bool // pairs of a sender and a receiver between which messages are lost
+	// Number of nodes with a disk. The nodes with the lowest slots have a disk.
 	disks    int
 	messages int                             // number of messages sent
-	acks     map[Slot]map[Ticket]Acknowledge // answers by node and ticket
-	views    map[Slot]map[string]Record      // last reported records by node and backend id
+	acks     map[Slot]map[Ticket]Acknowledge // answers to calls, by node and ticket
+	views    map[Slot]map[string]Record      // record of the last Changed action, by node and backend id
 }
 
-// newFleet starts n nodes, of which the first disks nodes have a disk.
+// newFleet starts n nodes. The number of nodes with a disk is disks.
 func newFleet(t *testing.T, n, disks int) *fleet {
 	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
@@ -50,8 +50,8 @@
 	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
-// updateNodes sets the nodes of each registry. A node is live for another one that reaches it. A node without a disk
-// follows the first node with a disk that it reaches and that reaches it.
+// updateNodes calls SetNodes on each registry. Each node sees the nodes that it reaches as live. A node without a disk
+// follows the node with the lowest slot among the nodes with a disk that it reaches in both directions.
 func (f *fleet) updateNodes() {
 	reach := func(a, b Slot) bool { return f.live[b] && !f.partitioned[[2]Slot{a, b}] }
 	upstreamOf := func(s Slot) Slot {
@@ -73,7 +73,8 @@
 	f.deliverAll()
 }
 
-// deliverAll delivers messages until there are none. A message to a partitioned or stopped node is lost.
+// deliverAll carries out the actions of all live nodes until there are none. A message to a partitioned or stopped node is
+// lost.
 func (f *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -118,8 +119,8 @@
 	target Slot
 }
 
-// sendHeartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
-// answered yet.
+// sendHeartbeat has a backend send a heartbeat to the node at and returns the answer. The answer is the zero value if the
+// node has not answered yet. The target of the backend's next heartbeat becomes the node that the answer names.
 func (f *fleet) sendHeartbeat(b *backend, at Slot) Acknowledge {
 	b.Seq++
 	ticket := f.registries[at].Heartbeat(b.Record)
@@ -136,29 +137,30 @@
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
-// requirePhase requires that the last report of the backend by each live node has the phase want. For Gone, a node may
-// also have reported nothing.
+// requirePhase requires that the record in the last Changed action for the backend has the phase want at each live node. If
+// want is Gone, a node may also have returned no Changed action for the backend.
 func (f *fleet) requirePhase(id string, want Phase) {
 	f.t.Helper()
 	for s := range f.registries {
 		if record, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
-			must.Eq(f.t, want, record.Phase, must.Sprintf("node %d of %s", s, id))
+			must.Eq(f.t, want, record.Phase, must.Sprintf("phase that node %d reported for backend %s", s, id))
 		}
 	}
 }
 
-// knownRecords returns the records that must be equal at nodes that have received the same updates.
+// knownRecords returns a registry's records by backend id, without the fields that may differ between nodes that have
+// received the same updates.
 func knownRecords(registry *Registry) map[string]Record {
 	records := map[string]Record{}
 	for id, e := range registry.entries {
 		record := registry.recordOf(e)
-		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Heartbeats are not sent to all nodes.
+		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Seq differs because heartbeats are not sent to all nodes.
 		records[id] = record
 	}
 	return records
 }
 
-// forEachPermutation calls f with every order of the numbers below n.
+// forEachPermutation calls f with each permutation of the numbers from 0 to n-1.
 func forEachPermutation(n int, f func([]int)) {
 	var permute func(head, rest []int)
 	permute = func(head, rest []int) {
@@ -177,7 +179,8 @@
 	permute(nil, all)
 }
 
-// TestUpdatesConvergeInAnyOrder checks that updates lead to the same state in every order, also if one is repeated.
+// TestUpdatesConvergeInAnyOrder guards against states that differ between nodes because updates arrived in different orders.
+// The same updates must lead to the same state in every order, also if one update is repeated.
 func TestUpdatesConvergeInAnyOrder(t *testing.T) {
 	base := newBackend(1).Record
 	update := func(set func(*Record)) Record {
@@ -223,8 +226,9 @@
 	}
 }
 
-// TestCallsConvergeInAnyOrder checks calls of one backend at three nodes, in every order, with and without a partition
-// between the nodes during the calls. All nodes must have the same state afterwards.
+// TestCallsConvergeInAnyOrder guards against states that differ between nodes because calls of one backend reached three
+// nodes in different orders. The calls arrive in every order, with and without a partition between the nodes. All nodes must
+// have the same state afterwards.
 func TestCallsConvergeInAnyOrder(t *testing.T) {
 	for _, partitioned := range []bool{false, true} {
 		forEachPermutation(4, func(order []int) {
@@ -262,8 +266,9 @@
 	}
 }
 
-// TestHeartbeatsAreNotForwardedByOwner checks that heartbeats to the owner cause no messages between nodes. It also checks
-// that backends without heartbeats are timed out at all nodes, and that a later heartbeat revives them.
+// TestHeartbeatsAreNotForwardedByOwner guards against traffic between nodes that grows with the number of heartbeats.
+// Heartbeats to the owner must cause no messages between nodes. Backends without heartbeats must be timed out at all nodes,
+// and a later heartbeat must revive the backend that sent it.
 func TestHeartbeatsAreNotForwardedByOwner(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var backends []*backend
@@ -301,7 +306,8 @@
 	f.requirePhase(backends[3].ID, Ready)
 }
 
-// TestDrainIsConfirmedByCopies checks when departures are confirmed while nodes with and without a disk are unreachable.
+// TestDrainIsConfirmedByCopies guards against departures that are confirmed too early, or never, while nodes with and without
+// a disk are unreachable.
 func TestDrainIsConfirmedByCopies(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	b := newBackend(1)
@@ -344,7 +350,8 @@
 	f.deliverAll()
 	must.True(t, f.acks[0][ticket].Confirmed)
 
-	// A node that reaches no other node confirms no departure. The only known node does.
+	// A node that knows other nodes but reaches none confirms no departure. A node that knows no other node confirms departures
+	// by itself.
 	for o := range Slot(3) {
 		dropMessagesTo(o + 1)
 	}
@@ -357,8 +364,9 @@
 	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 }
 
-// TestLossOfOwnerKeepsItsBackends checks that the backends of a lost owner stay ready and get a new owner. A backend that
-// stops with its owner must be timed out, and the restarted owner must receive the whole registry.
+// TestLossOfOwnerKeepsItsBackends guards against backends that are timed out because their owner was lost. The backends of a
+// lost owner must stay ready and get a new owner. A backend that stops together with its owner must be timed out. The
+// restarted owner must receive the complete registry.
 func TestLossOfOwnerKeepsItsBackends(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var backends []*backend
@@ -391,7 +399,7 @@
 		}
 		for _, b := range orphans {
 			if i == 0 || b.target == lostOwner {
-				// The heartbeat to the lost owner failed, and the backend turns to the next node.
+				// The heartbeat to the lost owner failed, and the backend calls the next node.
 				f.sendHeartbeat(b, next)
 			} else {
 				f.sendHeartbeat(b, b.target)
@@ -407,12 +415,12 @@
 		}
 		f.advance(heartbeatInterval)
 	}
-	f.requirePhase(stopped[0].ID, Gone) // It stopped together with its owner.
+	f.requirePhase(stopped[0].ID, Gone) // This backend stopped together with its owner.
 	for _, b := range orphans {
 		must.NotEq(t, lostOwner, b.target)
 		must.Eq(t, b.target, f.registries[next].entries[b.ID].record.Owner)
 	}
-	// The owner restarts with an empty registry. It is sent all records, including departures.
+	// The owner restarts with an empty registry. The other nodes must send the owner all records, including departures.
 	f.startNode(lostOwner)
 	f.updateNodes()
 	f.advance(time.Second)
@@ -420,8 +428,8 @@
 	must.Eq(t, 29, len(f.registries[lostOwner].Backends()))
 }
 
-// TestIsolatedNodeExpiresOnlyDirectBackends guards against an isolated node that times out backends which now send their
-// heartbeats to other nodes.
+// TestIsolatedNodeExpiresOnlyDirectBackends guards against an isolated node that times out backends whose heartbeats now
+// reach only other nodes.
 func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
 	f := newFleet(t, 5, 0)
 	var backends []*backend
@@ -438,7 +446,7 @@
 		for _, b := range backends {
 			at := b.target
 			if at == 0 {
-				// The zone of the backend no longer reaches node 0.
+				// The backend does not reach node 0 either, and calls another node.
 				at = 2
 			}
 			f.sendHeartbeat(b, at)
@@ -479,8 +487,8 @@
 	f.requirePhase(b.ID, Gone)
 }
 
-// TestReusedAddressShowsYoungestBackend checks that requests see only the backend that was first seen most recently at an
-// address.
+// TestReusedAddressShowsYoungestBackend guards against requests to a former backend whose address another backend has taken
+// over. Requests must see only the backend that was first seen most recently at the address.
 func TestReusedAddressShowsYoungestBackend(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	old := newBackend(1)
@@ -505,8 +513,8 @@
 	f.requirePhase(old.ID, Gone)
 }
 
-// TestTombstonesExpireAndAreBounded checks that no state of a gone backend remains after tombstoneTTL, and that the number
-// of tombstones is limited.
+// TestTombstonesExpireAndAreBounded guards against a registry that grows without bound. No state of a gone backend may remain
+// after tombstoneTTL, and there may be at most maxTombstones tombstones.
 func TestTombstonesExpireAndAreBounded(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	b := newBackend(1)
@@ -527,8 +535,8 @@
 	must.Eq(t, maxTombstones, len(f.registries[0].entries))
 }
 
-// TestNodesConvergeAfterFaults applies random faults to fleets of random size. After the faults end, all nodes must report
-// the right phases and send no more messages.
+// TestNodesConvergeAfterFaults guards against nodes that disagree forever after faults. The test applies random faults to
+// fleets of random size. After the faults end, all nodes must report the right phases and send no more messages.
 func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
@@ -603,15 +611,15 @@
 			}
 			f.requirePhase(b.ID, want)
 		}
-		must.Eq(t, 0, f.messages, must.Sprint("messages sent without changes, seed ", seed))
+		must.Eq(t, 0, f.messages, must.Sprint("messages were sent although nothing changed; seed: ", seed))
 	}
 }
 
-// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes. These delayed requests on slow
-// links and broke the rule DRAIN of the fault tests: no request may reach a backend later than a bounded time after its
-// drain was acknowledged. The traffic on a link must not grow with the number of nodes. In a release of many backends, a
-// node without a disk must receive one update for each change, from its upstream. A node that restarts during the release
-// must receive the registry once.
+// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes. Such messages delayed requests on
+// slow links and broke the rule DRAIN of the fault tests: no request may reach a backend later than a bounded time after the
+// backend's drain call was acknowledged. The traffic on a link must not grow with the number of nodes. When many backends
+// drain in a release, a node without a disk must receive one update for each change, from its upstream. A node that restarts
+// during the release must receive the registry once.
 func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
 		f := newFleet(t, n, 3)
@@ -626,10 +634,10 @@
 		for i := range 60 {
 			b := newBackend(i)
 			b.Seq, b.Phase = 9, Draining
-			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
+			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("the drain call is not confirmed at once, although all nodes are reachable"))
 		}
 		// Each node receives an update and acknowledges it.
-		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes"))
+		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes send too many messages for 60 departures"))
 		f.advance(time.Second)
 		f.messages = 0
 		f.startNode(Slot(n - 1))
@@ -643,10 +651,10 @@
 	}
 }
 
-// TestRestoredBackendsAreWatchedForTimeouts checks a restart of all nodes in which one node restores its registry from
-// disk, so that the others need not wait for heartbeats. Restored records that are wrong must not last. A backend that
-// sends no heartbeats must be gone after three intervals. A backend that deregistered meanwhile must stay gone at a node
-// that knows of it.
+// TestRestoredBackendsAreWatchedForTimeouts guards against restored records that stay although they are wrong. After a
+// restart of all nodes, one node restores its registry from disk, and all nodes must know the restored backends without
+// heartbeats. A restored backend that sends no heartbeats must be gone after three heartbeat intervals. A backend that
+// deregistered before the restore must stay gone at a node that knows of the deregistration.
 func TestRestoredBackendsAreWatchedForTimeouts(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	alive, stopped := newBackend(1), newBackend(2)
@@ -679,10 +687,10 @@
 	must.Eq(t, Gone, f.registries[0].visiblePhase(f.registries[0].entries[alive.ID]))
 }
 
-// TestFollowersReportMissingBackends checks a restart of the only node with a disk with an empty registry. Its followers
-// must send it the backends that its full sync left out. A running backend must get an owner without waiting for its
-// heartbeat. A backend that stopped meanwhile must be gone at all nodes after three intervals, although no heartbeat names
-// it again.
+// TestFollowersReportMissingBackends guards against backends that are lost when the only node with a disk restarts with an
+// empty registry. The followers must send this node the backends that its full sync left out. A backend that still runs must
+// get an owner without waiting for its heartbeat. A backend that has stopped must be gone at all nodes after three heartbeat
+// intervals, although no heartbeat makes it known again.
 func TestFollowersReportMissingBackends(t *testing.T) {
 	f := newFleet(t, 4, 1)
 	alive, stopped := newBackend(1), newBackend(2)
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -4,16 +4,17 @@
 
 // Status holds counts for operators.
 type Status struct {
-	Ready, Draining, Gone int // number of backends by visible phase
-	Owned                 int // backends that this node owns
-	OwnerLost             int // backends whose owner this node does not reach
-	PendingCalls          int // calls that wait for other nodes
-	Unconfirmed           int // records that other nodes have not acknowledged
-	// Number of calls and updates of new backends that were rejected because the registry was full, since the start.
+	Ready, Draining, Gone int // numbers of backends by visible phase
+	Owned                 int // number of backends that this node owns and that are not gone
+	OwnerLost             int // number of backends that are not gone and whose owner this node does not reach
+	PendingCalls          int // number of calls that wait for copies at other nodes
+	Unconfirmed           int // number of records to peers that are waiting to be sent or to be acknowledged
+	// Number of calls and updates of new backends that were rejected because the registry was full, since the start of the
+	// node.
 	Refused uint64
 }
 
-// Status returns the present counts.
+// Status returns the counts as of the last input.
 func (r *Registry) Status() Status {
 	s := Status{PendingCalls: len(r.pendingCalls), Refused: r.refused}
 	for _, e := range r.sorted {
@@ -54,8 +55,8 @@
 	return records
 }
 
-// HasReadyBackend reports whether any backend is ready. It stops at the first ready backend, because readiness is queried at
-// least once a second.
+// HasReadyBackend reports whether requests see any backend as Ready. It stops at the first such backend, because the host
+// calls it at least once a second.
 func (r *Registry) HasReadyBackend() bool {
 	return slices.ContainsFunc(r.sorted, func(e *entry) bool { return r.visiblePhase(e) == Ready })
 }
--- a/internal/gateway/registry/testingknobs_debug.go
+++ b/internal/gateway/registry/testingknobs_debug.go
@@ -2,10 +2,10 @@
 
 package registry
 
-// TestingKnobs disable safeguards, for tests that show which failures the safeguards prevent.
+// TestingKnobs disables safeguards, for tests that show which failures the safeguards prevent.
 type TestingKnobs struct {
-	// TrustUnconfirmedPeers counts a departure in any message as a copy at its sender, even if a former incarnation of the
-	// sender may have sent the message.
+	// If TrustUnconfirmedPeers is true, a departure in any message counts as a copy at the message's sender, even if a former
+	// incarnation of the sender may have sent the message.
 	TrustUnconfirmedPeers bool
 }
 
--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -2,8 +2,8 @@
 
 package registry
 
-// safeguardDisabledCases are the cases of a test that shows what a safeguard prevents. The test runs once with the
-// safeguard and once with the safeguard disabled.
+// safeguardDisabledCases lists whether a safeguard is disabled in the cases of a test that shows what the safeguard
+// prevents. The test runs once with the safeguard and once without it.
 var safeguardDisabledCases = []bool{false, true}
 
 func knobsTrustingPeers(trust bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trust} }
--- a/internal/gateway/registry/testingknobs_release.go
+++ b/internal/gateway/registry/testingknobs_release.go
@@ -2,7 +2,8 @@
 
 package registry
 
-// TestingKnobs is empty in a release build. No safeguard can be disabled, and the compiler removes the branches.
+// TestingKnobs is empty in a release build, so that no safeguard can be disabled. The compiler removes the code that tests
+// the knobs.
 type TestingKnobs struct{}
 
 func (TestingKnobs) trustUnconfirmedPeers() bool { return false }
--- a/internal/gateway/registry/testingknobs_release_test.go
+++ b/internal/gateway/registry/testingknobs_release_test.go
@@ -2,8 +2,8 @@
 
 package registry
 
-// safeguardDisabledCases are the cases of a test that shows what a safeguard prevents. A release build cannot disable a
-// safeguard.
+// safeguardDisabledCases lists whether a safeguard is disabled in the cases of a test that shows what the safeguard
+// prevents. A release build cannot disable a safeguard, so the test runs only with the safeguard.
 var safeguardDisabledCases = []bool{false}
 
 func knobsTrustingPeers(bool) TestingKnobs { return TestingKnobs{} }
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -3,10 +3,11 @@
 import "time"
 
 // This file defines the encoded forms of records and messages on links and on a node's disk. gob identifies fields by name,
-// and other program versions read these forms. A field therefore keeps its name here, whatever its name in the code is. A
-// decoder ignores a field that it does not know, and sets a field that was not sent to zero.
+// and other program versions read these forms. The fields here must therefore never be renamed, also when the fields of
+// Record and Message are. gob ignores a received field that it does not know. A field that was not sent is zero.
 
-// WireRecord is the form of a Record that gob sends and stores. A comment names the field of Record if its name differs.
+// WireRecord is the form of a Record that gob sends and stores. If a field has another name in Record, a comment gives that
+// name.
 type WireRecord struct {
 	ID         string
 	Service    string
@@ -26,7 +27,7 @@
 	Missed  Slot   // LostOwner
 }
 
-// WireMessage is the form of a Message that gob sends. A comment names the field of Message if its name differs.
+// WireMessage is the form of a Message that gob sends. If a field has another name in Message, a comment gives that name.
 type WireMessage struct {
 	Nr     uint64       // Seq
 	Words  []WireRecord // Updates
