--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -34,7 +34,7 @@
 }
 
 // updatePatientAccess sets this node's access to each backend of a service for patient requests. If the ejections leave fewer backends open
-// than Settings.requiredInService, the least unhealthy ejected backends are opened until that number is reached.
+// than Settings.requiredInService returns, the least unhealthy ejected backends are opened until the required number is open.
 func (n *Node) updatePatientAccess(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -9,8 +9,7 @@
 )
 
 const (
-	// retryInterval is the interval after which the coordinator repeats a report request, or a proposal of an entry that was not applied
-	// from the log.
+	// retryInterval is the minimum interval between two report requests for a key, and between two proposals of the same entry.
 	retryInterval = time.Second
 	// maxObservedKeys limits the keys for which the coordinator stores evidence.
 	maxObservedKeys = 4096
@@ -18,8 +17,8 @@
 	coordinatorName = "duty"
 )
 
-// Coordinator runs on the core's leader and decides on ejections for all nodes. A new coordinator with a higher fencing token may replace an
-// old one at any time. The new one starts without evidence and receives all current evidence within reportInterval.
+// Coordinator runs on the core's leader and decides on ejections for all nodes. Another coordinator with a higher fencing token may replace a
+// coordinator at any time. The replacement starts without evidence, and the nodes repeat their reports within reportInterval.
 type Coordinator struct {
 	actionQueue
 	now              time.Duration
@@ -35,7 +34,7 @@
 	requestKeys []Key
 }
 
-// keyEvidence holds what all nodes have reported on a key.
+// keyEvidence holds the reports of all nodes on a key.
 type keyEvidence struct {
 	byWitness map[Slot]*receivedObservation
 	// True if the key must be evaluated at the next Tick.
@@ -114,7 +113,8 @@
 			if len(c.evidence) >= maxObservedKeys {
 				continue
 			}
-			evidence = &keyEvidence{byWitness: map[Slot]*receivedObservation{}, losses: map[Slot]confirmedLoss{}, requestedAt: -retryInterval, proposedAt: -retryInterval}
+			evidence = &keyEvidence{byWitness: map[Slot]*receivedObservation{}, losses: map[Slot]confirmedLoss{}, requestedAt: -retryInterval,
+				proposedAt: -retryInterval}
 			c.evidence[o.Key] = evidence
 		}
 		if newest := evidence.byWitness[from]; newest != nil && newest.incarnation == r.Incarnation && newest.seq >= r.Seq {
@@ -161,8 +161,8 @@
 	return false
 }
 
-// propose proposes an entry if the state would accept the entry now, and reports whether the state would accept it. An entry that was proposed
-// less than retryInterval ago is not proposed again. proposedAt points to the time of the last proposal and is updated.
+// propose reports whether the state would accept an entry now. If so, it pushes a proposal of the entry, unless the last proposal was less than
+// retryInterval ago. proposedAt points to the time of the last proposal and is updated.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
 	if result, _ := c.state.Decide(&e); result != routing.Accepted {
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -38,7 +38,8 @@
 	byCoordinator := e.Verb != SetSettings && e.Verb != Clear
 	switch {
 	case byCoordinator != (e.FencingToken > 0):
-		return routing.Invalid, logentry.FieldErrorf("fence", "fencing token %d with verb %s: entries of the coordinator need a token above 0, all others need 0", e.FencingToken, e.Verb)
+		return routing.Invalid, logentry.FieldErrorf("fence", "fencing token %d with verb %s: only entries of the coordinator have a token above 0",
+			e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
 		return conflictResult("fence", "fencing token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -9,7 +9,7 @@
 	"clovergap/internal/gateway/membership"
 )
 
-// The rules for an ejection, by their names in the ejection's reason.
+// The names of the rules for an ejection. The reason of an ejection begins with the name of the rule that was met.
 const (
 	// Evidence that only the backend can have caused.
 	ruleConclusive = "proof"
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -91,7 +91,7 @@
 		services: map[string]*service{}, zonePaths: map[string]*zonePath{}, active: map[Key]*keyState{}}
 }
 
-// SetNodeCount sets the number of nodes that send requests to the backends. They share the rate limit of a backend with limited access.
+// SetNodeCount sets the number of nodes that send requests to the backends. The nodes share the rate limit of a backend with limited access.
 func (n *Node) SetNodeCount(count int) { n.nodeCount = max(count, 1) }
 
 // ApplyState sets the state. e is the entry that was just applied, or nil if a snapshot was restored. The node keeps a reference to the state.
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -37,12 +37,12 @@
 type evidenceItem struct {
 	kind       EvidenceKind
 	observedAt time.Duration
-	// The time from the sending of the attempt to the evidence. For LostAnswer this is the attempt's time-out. 0 for evidence that does not
-	// come from a network link.
+	// The time from the sending of the attempt to the evidence. For LostAnswer this is the attempt's time-out. 0 for evidence that a network link
+	// cannot have caused.
 	timeout time.Duration
 }
 
-// delayedEvidence is evidence that a network link may have caused. It counts after linkEvidenceDelay.
+// delayedEvidence is evidence that a network link may have caused. The evidence counts only after linkEvidenceDelay.
 type delayedEvidence struct {
 	evidenceItem
 	state    *keyState
@@ -59,7 +59,8 @@
 // resetKey discards the observations of a key and sets its revision. Observations under another revision do not count. The number of local
 // ejections and the access are kept.
 func (n *Node) resetKey(state *keyState, rev uint64) {
-	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections, access: state.access, local: state.local}
+	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections,
+		access: state.access, local: state.local}
 	n.active[state.key] = state
 }
 
@@ -155,8 +156,8 @@
 	n.queueAccessUpdate(state.backend.service)
 }
 
-// scheduleReport schedules a report on the key. The report is due when the time within has passed since the last report on the key. A report that
-// is already scheduled for an earlier time is not postponed.
+// scheduleReport schedules a report on the key. The report is due when the duration of the argument within has passed since the last report on the
+// key. A report that is already scheduled for an earlier time is not postponed.
 func (k *keyState) scheduleReport(within time.Duration) {
 	if k.reportWithin == 0 || within < k.reportWithin {
 		k.reportWithin = within
@@ -202,7 +203,8 @@
 		n.queueAccessUpdate(state.backend.service)
 		// A lost answer counts only if the network path to the zone was intact. A connection reset does not need this check, because a partition
 		// does not reset a single connection. A failure of a link or of this node resets connections to several backends at the same time.
-		if !n.disconnected && n.otherResetCount(delayed) < maxOtherResets && (delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].wasIntact(delayed.sentAt, n.now)) {
+		if !n.disconnected && n.otherResetCount(delayed) < maxOtherResets &&
+			(delayed.kind == ConnectionReset || n.zonePaths[state.backend.Zone].wasIntact(delayed.sentAt, n.now)) {
 			n.countEvidence(state, delayed.evidenceItem)
 		}
 	}
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -419,7 +419,8 @@
 	s := NewState()
 	must.False(t, s.Enabled())
 	settings := &Settings{Enabled: true, Routes: []Route{{"r-a", "off"}, {"r-b", "patient"}}}
-	for i, want := range []routing.Result{routing.Accepted, routing.Duplicate, routing.Conflict} { // The same call again, then another call with an outdated revision.
+	// The second entry repeats the call of the first one. The third entry is another call with an outdated revision.
+	for i, want := range []routing.Result{routing.Accepted, routing.Duplicate, routing.Conflict} {
 		e := &Entry{Verb: SetSettings, Settings: settings, CallID: []string{"ana-1", "ana-1", "ben-1"}[i]}
 		decoded, err := DecodeEntry(e.Encode())
 		must.NoError(t, err)
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -23,7 +23,7 @@
 	readmitNodes = 4
 	// Each failure raises the required number of clean answers by this number.
 	failurePenalty = 10
-	// The ejection of an instance that is not in the registry is forgotten when a coordinator has run for this time.
+	// When a coordinator has run for longer than this time, it removes the ejections of instances that are not in the registry.
 	unknownTTL = 60 * time.Second
 )
 
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -26,7 +26,7 @@
 	ProbeIdleAfter logentry.Duration `json:"probe_silent" validate:"min=0"`
 }
 
-// Route sets the mode of the requests of a route. Route is the route's name.
+// Route sets the mode of the requests of a route. The mode applies to all variants of the route.
 type Route struct {
 	Route string `json:"route" validate:"required,max=128"`
 	Mode  string `json:"manner" validate:"oneof=strict patient off"`
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -100,11 +100,13 @@
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	worstPatientShare                float64       // The largest number of backends not open to patient requests, as a fraction of the allowed number (the ready ones minus Settings.requiredInService).
-	wronglyClosed                    time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
-	wronglyClosedLocally             time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
-	wronglyEjected                   map[InstanceID]bool
-	maxSoleEjections                 int // The largest number of simultaneous ejections on the evidence of the lying node alone.
+	// The largest number of backends not open to patient requests, as a fraction of the allowed number. The allowed number is the number of ready
+	// backends minus Settings.requiredInService.
+	worstPatientShare    float64
+	wronglyClosed        time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
+	wronglyClosedLocally time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
+	wronglyEjected       map[InstanceID]bool
+	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
 
 // partition separates one zone or one node from everything else for a period.
@@ -395,7 +397,8 @@
 
 func (sim *simulation) sendRequest(node *simNode, b *simBackend, m Mode) {
 	svc := b.service
-	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now, outcome: AttemptEnd{Ending: control.Succeeded}}
+	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now,
+		outcome: AttemptEnd{Ending: control.Succeeded}}
 	node.inFlight[req.key]++
 	node.lastSentAt[req.key] = sim.now
 	kind, slowdown := NoEvidence, 1.0
@@ -669,7 +672,8 @@
 			sim.checkConvergence()
 			return sim
 		}, func(sim *simulation) {
-			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections, max(worstShare, sim.worstPatientShare), simulated+sim.now
+			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections,
+				max(worstShare, sim.worstPatientShare), simulated+sim.now
 			closedLocally, reports = closedLocally+sim.wronglyClosedLocally, reports+sim.reportsSent
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && sim.wronglyEjected[record.Key.ID] {
@@ -677,7 +681,7 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d seeds=%d simulated=%v: wrong ejections %d of %d; largest number of backends not open to patient requests, as a fraction of the allowed number: %.2f; time for which local ejections closed healthy backends to strict requests: %v per node; %.1f reports/s",
+		t.Logf("nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d worst_patient_share=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
@@ -744,21 +748,23 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d", lyingNode.slot, count, svc.name, soleEjections))
+							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d",
+								lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
 				}
 			}
 			return sim
 		}, func(sim *simulation) {
-			maxEjected, ejections, closedTime, simulated = max(maxEjected, sim.maxSoleEjections), ejections+sim.ejections, closedTime+sim.wronglyClosed, simulated+sim.now
+			maxEjected, ejections, closedTime, simulated = max(maxEjected, sim.maxSoleEjections), ejections+sim.ejections,
+				closedTime+sim.wronglyClosed, simulated+sim.now
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && len(record.Witnesses) > 1 && sim.wronglyEjected[record.Key.ID] {
 					sharedEjections++
 				}
 			}
 		})
-		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v: at most %d keys ejected at once on the lying node's evidence alone; %d ejections (%d of healthy backends with several witnesses); time for which ejections closed healthy backends to strict requests: %v per node",
+		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_with_several_witnesses=%d wrongly_closed=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
@@ -819,7 +825,8 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faulty requests per run: %d | %d ejections of %d keys | unserved requests: %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
+		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults=%d ejections=%d keys=%d unserved=%d", tc.name, tc.nodes,
+			medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
 	}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -24,8 +24,8 @@
 	maxRepeats = 16
 	// The maximum number of witnesses in an Eject entry.
 	maxNamedWitnesses = 8
-	// The number of the state's revisions after which the refutations of a witness count half. About five ejections with their recoveries take
-	// this number of entries.
+	// The number of revisions of the state after which only half of a witness's refutations still count. Each entry raises the revision by one. About
+	// five ejections with their recoveries take this number of entries.
 	refutationHalvingPeriod = 24
 )
 
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -29,7 +29,8 @@
 // newUpstreamFixture returns a node with the given numbers of backends and followers. zone returns the zone of the backend
 // or follower with index i.
 func newUpstreamFixture(backends, followers int, zone func(i int) string) *upstreamFixture {
-	c := &upstreamFixture{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
+	c := &upstreamFixture{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{},
+		fullSyncs: map[Slot]bool{}}
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	c.registry.SetNodes(nodes)
 	for i := range backends {
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -61,7 +61,7 @@
 	if e.record.Seq > before.Seq {
 		e.lastHeartbeatAt, e.directHeartbeat = r.now, direct
 	} else if e.record.Owner != NoSlot && !direct && !departureAdvanced {
-		return // The heartbeat is older than the newest known one.
+		return // A heartbeat with this or a higher sequence number is already known.
 	}
 	owner := r.ownerFor(e, NoSlot)
 	becomesOwner := owner.Slot == r.localSlot && e.record.Owner != r.localSlot && e.phase() != Gone
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -135,7 +135,7 @@
 	}
 	staleOwner := update.Owner != known.Owner &&
 		(update.FencingToken < known.FencingToken || update.FencingToken == known.FencingToken && update.Owner < known.Owner)
-	// An owner that missed the last heartbeat would measure the time-out from an earlier one.
+	// An owner that missed the last heartbeat would measure the time-out from an earlier heartbeat.
 	missedHeartbeat := update.Seq < known.Seq && known.Phase != Gone && from.node.Slot == known.Owner
 	if (update.Phase != known.Phase || update.departureState() != known.departureState() || staleOwner || missedHeartbeat) && from.node.Live {
 		r.enqueueUpdate(from, e.record.ID, true)
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -501,7 +501,7 @@
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	must.SliceLen(t, 1, f.registries[2].Backends())
-	// A late call of the old backend has no lasting effect. The departure of the young backend does not revive the old one.
+	// A late call of the old backend must have no lasting effect. The departure of the young backend must not revive the old backend.
 	old.Seq += 5
 	f.sendHeartbeat(old, 2)
 	f.advance(600 * ms)
