--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -199,7 +199,7 @@
 	return until
 }
 
-// schedule runs an event after a delay of at least one tick.
+// schedule enqueues an event that the simulation runs after a delay of at least one tick.
 func (sim *simulation) schedule(delay time.Duration, event func()) {
 	at := (sim.now + max(delay, tickInterval)).Truncate(tickInterval)
 	sim.events[at] = append(sim.events[at], event)
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -32,7 +32,7 @@
 // State is the replicated state that results from the entries of the log. It is the same on all nodes.
 type State struct{ snapshot }
 
-// snapshot is the stored form of the state. Gob stores the field names, so they must not change.
+// snapshot is the stored form of the state. Gob stores the names of the fields. Therefore no field may be renamed.
 type snapshot struct {
 	Settings         Settings
 	SettingsRevision uint64
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -9,7 +9,7 @@
 	// allCopiesTimeout is how long a departure waits for the acknowledgements of all peers that this node sends updates to,
 	// even if MinCopies nodes already have it.
 	allCopiesTimeout = 500 * time.Millisecond
-	// minCopiesTimeout is how long a departure waits for MinCopies copies.
+	// minCopiesTimeout is how long a departure waits for MinCopies copies. After this time the call fails.
 	minCopiesTimeout = 800 * time.Millisecond
 	// callTimeout is the age of a call from which the answer would reach the backend too late. The backend calls another node
 	// if it has no answer within 1 s, and the answer takes time to arrive.
@@ -30,8 +30,8 @@
 //     sends it to each of these nodes. A node that the first node does not reach gets the departure from another node
 //     that reaches both (Message.Unreachable). For this step, a node that has the departure must reach a node in
 //     contact with a majority.
-//   - A node with a disk sends the departure to all of its followers. The followers are those in its own list or in
-//     the lists of the nodes that forward its stream.
+//   - A node with a disk sends the departure to all of its followers. A follower is in the list of followers of the node
+//     with the disk, or in the list of a node that forwards this node's updates.
 //   - A node without a disk follows only a node in contact with a majority, and receives all departures when it
 //     follows a new upstream.
 //
@@ -44,7 +44,8 @@
 	since     time.Duration  // time of the call
 }
 
-// nextCheckAt returns the next time at which the call must be checked.
+// nextCheckAt returns the time at which the next of the two time-outs of the call ends (allCopiesTimeout and then
+// minCopiesTimeout).
 func (p pendingCall) nextCheckAt(now time.Duration) time.Duration {
 	if now < p.since+allCopiesTimeout {
 		return p.since + allCopiesTimeout
@@ -117,8 +118,8 @@
 	return false, age >= minCopiesTimeout
 }
 
-// copyCounts counts the nodes that are known to have a departure. Only nodes with a disk count as copies. If no node with
-// a disk is known, every node counts.
+// copyCounts holds the numbers that decide whether a departure is confirmed. Only copies at nodes with a disk count. If no
+// node with a disk is known, copies at all nodes count.
 type copyCounts struct {
 	required int // number of copies needed to confirm the departure
 	// Number of reachable nodes whose copies count. This node is included if its copy counts.
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -7,7 +7,7 @@
 //
 //   - Backend: an instance of a service that calls a node's control address. It sends heartbeats, reports that it is
 //     draining before it stops, and deregisters with its last call.
-//   - Owner: the one node that watches a backend for missed heartbeats. It is chosen by rendezvous hashing of the
+//   - Owner: the one node that watches a backend for missed heartbeats. The owner is chosen by rendezvous hashing of the
 //     backend's id over the live nodes with a disk (ownerFor). Nodes in the backend's zone are preferred. If no node
 //     with a disk is live, all live nodes are candidates. Each answer to a heartbeat names the owner's control
 //     address, so that backends send their next heartbeats there.
@@ -21,8 +21,8 @@
 //
 // # How updates travel
 //
-// Nodes exchange changes, not heartbeats. The owner sends a change to the other nodes with a disk, and each of these sends
-// it to its followers. While a node with a disk is live, nodes without a disk send each other nothing. The traffic on one
+// Nodes exchange changes, not heartbeats. The owner sends a change to the other nodes with a disk, and each node with a disk
+// sends the change to its followers. While a node with a disk is live, nodes without a disk send each other nothing. The traffic on one
 // link therefore does not grow with the number of nodes without a disk.
 //
 // Messages carry a sequence number and are acknowledged. A message without an acknowledgement is resent with exponential
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxBackends limits the number of entries, tombstones included. It is more than the backends of any deployment
-	// (docs/CAPACITY.md).
+	// maxBackends limits the number of entries, tombstones included. The limit is higher than the number of backends of any
+	// deployment (docs/CAPACITY.md).
 	maxBackends = 8192
 	// maxTombstones limits the number of entries of gone backends. Space for live backends therefore remains even if backends
 	// are started and stopped in a loop.
@@ -25,7 +25,7 @@
 // them.
 type entry struct {
 	record Record
-	// True if the backend is timed out at exactly the Seq and FencingToken of record.
+	// True if the backend is timed out. A time-out applies only to the present Seq and FencingToken of record.
 	timedOut       bool
 	goneAt         time.Duration // time at which the phase last became Gone
 	firstSeenAt    time.Duration // time at which any node first saw the backend
@@ -44,7 +44,7 @@
 	noTakeoverUntil time.Duration
 	// True if this node timed out the backend by a suspicion that the owner has not confirmed yet.
 	suspected bool
-	// The furthest departure that each node is known to have.
+	// The highest departure state that each node is known to have.
 	notified map[Slot]departureState
 
 	changeQueued       bool          // the entry is in Registry.changedEntries
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// preferDiskOwners sorts the owner candidates by slot, and removes those without a disk if any candidate has a disk.
+// preferDiskOwners sorts the owner candidates by slot. If any candidate has a disk, the candidates without a disk are removed.
 func (r *Registry) preferDiskOwners() {
 	slices.SortFunc(r.ownerCandidates, func(x, y Node) int { return int(x.Slot - y.Slot) })
 	if slices.ContainsFunc(r.ownerCandidates, func(n Node) bool { return n.HasDisk }) {
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -21,9 +21,9 @@
 	scanInterval = 500 * time.Millisecond
 )
 
-// ownerFor returns the node that should own a backend. It chooses the node by rendezvous hashing over the owner candidates,
-// except for the node with the slot except. If except is NoSlot, all candidates are considered. Candidates in the backend's
-// zone are preferred. The Slot of the result is NoSlot if there is no candidate.
+// ownerFor returns the node that should own a backend. It chooses the node by rendezvous hashing over the owner candidates.
+// The parameter except is the slot of a candidate to leave out, or NoSlot. Candidates in the backend's zone are preferred.
+// The Slot of the result is NoSlot if there is no candidate.
 func (r *Registry) ownerFor(e *entry, except Slot) Node {
 	h := fnv.New64a()
 	h.Write([]byte(e.record.ID))
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -12,8 +12,8 @@
 	resendTimeout = 300 * time.Millisecond
 	// maxResendDoublings is the number of times that the resend time-out doubles. The longest time-out is 4.8 s.
 	maxResendDoublings = 4
-	// maxResends is the number of times that a message is resent before its receiver counts as unresponsive. This takes more
-	// than 14 s in total.
+	// maxResends is the number of times that a message is resent before its receiver counts as unresponsive. The last resend
+	// is 14 s after the first transmission.
 	maxResends = 6
 	// probeInterval is the interval between two probes of an unresponsive node.
 	probeInterval = time.Second
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -44,7 +44,7 @@
 	departure      departureState
 	slowStartUntil time.Duration
 	suspected      bool
-	// True if this node owned the backend and it was not gone.
+	// True if this node owned the backend and the backend was not gone.
 	owned bool
 	// True if this node received a heartbeat of the backend within the time-out.
 	recentHeartbeat bool
@@ -87,8 +87,8 @@
 // forwardUpdate forwards an update to other nodes if the update changed this node's record of the backend. A node with a
 // disk also sends the record of a backend that it did not know before to the backend's owner.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// If this node already timed out the backend by a suspicion, the owner's time-out does not change the phase. It is urgent
-	// nevertheless, because the other nodes do not know of the time-out yet.
+	// If this node already timed out the backend by a suspicion, the owner's time-out does not change the phase. The update is
+	// urgent nevertheless, because the other nodes do not know of the time-out yet.
 	urgent := e.phase() != before.phase || e.departureState() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -53,8 +53,8 @@
 	Owner Slot // node that watches the backend for missed heartbeats
 	// Number of changes of owner. 0 means that there has been no owner.
 	FencingToken uint64
-	// Former owner from which the present owner took the backend over because it no longer reached the former owner. NoSlot
-	// if the present owner did not take the backend over from a lost owner.
+	// Former owner that the present owner no longer reached when it took the backend over. NoSlot if the present owner did not
+	// take the backend over from a lost owner.
 	LostOwner Slot
 }
 
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -13,8 +13,8 @@
 // Config holds the settings of a registry.
 type Config struct {
 	HeartbeatInterval time.Duration // interval between two heartbeats of a backend
-	// Number of nodes with a disk that must have a departure before it is confirmed. It is the number of tolerated losses
-	// plus 1.
+	// Number of nodes with a disk that must have a departure before the departure is confirmed. It is one more than the
+	// number of nodes that may be lost at once.
 	MinCopies int
 	// A number that differs between two incarnations of this node. Acknowledgements to a former incarnation then match no
 	// message of the present one.
