--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -105,7 +105,7 @@
 		if conclusive {
 			a.conclusive, a.selfDoubt = append(a.conclusive, from), a.selfDoubt || o.selfDoubt
 		}
-		if c.isCurrent(o) {
+		if c.isFresh(o) {
 			if a.total.add(o.Window); o.Window.Failing > a.worst.Failing {
 				a.worst = o.Window
 			}
@@ -117,10 +117,8 @@
 	return a
 }
 
-// isCurrent reports whether an observation was received at most freshWindow ago, so that its window is current.
-func (c *Coordinator) isCurrent(o *receivedObservation) bool {
-	return c.now-o.receivedAt <= freshWindow
-}
+// isFresh reports whether an observation was received at most freshWindow ago, so that its window is current.
+func (c *Coordinator) isFresh(o *receivedObservation) bool { return c.now-o.receivedAt <= freshWindow }
 
 // witnesses returns the nodes that have reported on a key, in ascending order.
 func (k *keyEvidence) witnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
@@ -207,7 +205,7 @@
 		if o.zone == a.backend.Zone && slices.Contains(witnesses, from) {
 			return true
 		}
-		zoneHasTraffic = zoneHasTraffic || o.zone == a.backend.Zone && o.Rev == a.revision && c.isCurrent(o) && o.Window.attemptCount() > 0
+		zoneHasTraffic = zoneHasTraffic || o.zone == a.backend.Zone && o.Rev == a.revision && c.isFresh(o) && o.Window.attemptCount() > 0
 	}
 	return !zoneHasTraffic
 }
@@ -270,7 +268,7 @@
 func (c *Coordinator) otherBackendWindows(a *assessment) map[Slot]Window {
 	byNode := map[Slot]Window{}
 	for from, o := range a.evidence.byWitness {
-		if c.isCurrent(o) {
+		if c.isFresh(o) {
 			byNode[from] = o.ServiceWindow
 		}
 	}
@@ -280,7 +278,7 @@
 		}
 		var total Window
 		for _, o := range evidence.byWitness {
-			if c.isCurrent(o) {
+			if c.isFresh(o) {
 				total.add(o.Window)
 			}
 		}
@@ -288,7 +286,7 @@
 			continue
 		}
 		for from, o := range evidence.byWitness {
-			if c.isCurrent(o) {
+			if c.isFresh(o) {
 				byNode[from] = byNode[from].minus(o.Window)
 			}
 		}
@@ -318,7 +316,7 @@
 		return nil, false
 	}
 	for from, o := range a.evidence.byWitness {
-		if !c.isCurrent(o) {
+		if !c.isFresh(o) {
 			continue
 		}
 		own := a.total
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -240,7 +240,7 @@
 		if state.Totals != state.reportedTotals {
 			state.scheduleReport(slowReportDelay)
 		}
-		if state.backend.Owned && ejection.advancesByProbes() && n.now-state.revisionSince >= minEjectionDuration(n.state, ejection) {
+		if state.backend.Owned && ejection.usesProbes() && n.now-state.revisionSince >= minEjectionDuration(n.state, ejection) {
 			n.pushProbe(state.backend)
 		}
 	} else if len(state.evidence) == 0 && state.delayedCount == 0 && state.ejectedUntil == 0 && state.reportWithin == 0 {
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -51,10 +51,8 @@
 	return readmitReads
 }
 
-// advancesByProbes reports whether clean probes can advance the recovery in the current step.
-func (e *Ejection) advancesByProbes() bool {
-	return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService
-}
+// usesProbes reports whether clean probes can advance the recovery in the current step.
+func (e *Ejection) usesProbes() bool { return e.Step <= ReadsOnly && e.Step.next(e.Mode) != InService }
 
 // proposeRecoveryStep proposes the next recovery step of an ejection if the requirements of the current step are met.
 func (c *Coordinator) proposeRecoveryStep(e *Ejection) {
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -22,8 +22,8 @@
 // # How updates travel
 //
 // Nodes exchange changes, not heartbeats. The owner sends a change to the other nodes with a disk, and each node with a disk
-// sends the change to its followers. While a node with a disk is live, nodes without a disk send each other nothing. The traffic on one
-// link therefore does not grow with the number of nodes without a disk.
+// sends the change to its followers. While a node with a disk is live, nodes without a disk send each other nothing. The
+// traffic on one link therefore does not grow with the number of nodes without a disk.
 //
 // Messages carry a sequence number and are acknowledged. A message without an acknowledgement is resent with exponential
 // backoff, and at most maxInFlight messages are in flight to a peer. A peer that acknowledges nothing is only probed. The
