--- a/internal/gateway/outlier/doc.go
+++ b/internal/gateway/outlier/doc.go
@@ -37,9 +37,9 @@
 //     one witness alone.
 //   - Patient requests always keep at least Settings.MinInService and Settings.MinInServicePercent of a service's backends. Strict requests have
 //     no such minimum.
-//   - Each entry names the revision of the ejection or of the settings that was current when the entry was made. A coordinator's entry also
-//     carries a fencing token (the leader's term). Of two concurrent entries only one is accepted, and a delayed entry cannot change a newer
-//     revision.
+//   - Each entry except Forget names the revision of the ejection or of the settings that was current when the entry was made. A coordinator's
+//     entry also carries a fencing token (the leader's term). Of two concurrent entries for the same revision only one is accepted, and a delayed
+//     entry cannot change a newer revision.
 //   - A report holds cumulative counts and not changes. The loss, duplication or reordering of reports therefore causes no error.
 //   - The size of the state is bounded, and equal states have equal snapshots.
 //
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -341,8 +341,8 @@
 	must.Positive(t, countEjections(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, DuplicateAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	// confirmedBy returns the reports of two nodes with a lost answer and two other nodes. The first nodes of these others, as many as the value of
-	// confirming, report fast answers during the attempts.
+	// confirmedBy returns the reports of two nodes with a lost answer and of two other nodes. The parameter confirming is the number of other nodes
+	// that report fast answers during the attempts.
 	confirmedBy := func(seq uint64, confirming int) []Report {
 		reports := []Report{report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range confirming {
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -370,7 +370,7 @@
 }
 
 // pickBackend returns a backend of the node's zone to which the node may send a request now, or such a backend of another zone if the node's zone
-// has none. It returns nil if there is no such backend in any zone. One of ten requests goes to another zone.
+// has none. It returns nil if there is no such backend in any zone. About one request in ten goes to another zone.
 func (sim *simulation) pickBackend(node *simNode, svc *simService, m Mode) *simBackend {
 	var near, far []*simBackend
 	for _, b := range svc.backends {
@@ -522,7 +522,7 @@
 	}
 }
 
-// resetConnections ends all requests in flight for which matches returns true. They end by a connection reset.
+// resetConnections ends, by a connection reset, all requests in flight for which matches returns true.
 func (sim *simulation) resetConnections(matches func(req *simRequest) bool) {
 	for _, b := range sim.backends {
 		for _, req := range slices.Clone(b.requests) {
@@ -605,7 +605,7 @@
 }
 
 // checkConvergence ends all partitions and lets the nodes apply all log entries. It panics if a node's state then differs from the log's, or if
-// two nodes differ in the requests that they may send to a backend. Local ejections may differ between nodes, so they are left out.
+// two nodes differ in the requests that they may send to a backend. Local ejections may differ between nodes and are not compared.
 func (sim *simulation) checkConvergence() {
 	sim.partitions = nil
 	for _, node := range sim.nodes {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -12,8 +12,8 @@
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// sendDrainCall has a backend send a call to the node at, which reports that the backend is draining. It returns the answer.
-// answered is false if the node has not answered yet.
+// sendDrainCall has a backend report to a node that the backend is draining. The parameter at is the slot of the node. The
+// results are the answer and whether the node has answered yet.
 func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(b.Record)
@@ -105,9 +105,9 @@
 	}
 }
 
-// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node at.
-// All nodes must then know the departure and must stop sending it. If noticed is true, the nodes notice the partition before
-// the call, otherwise after the call.
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node with
+// the slot at. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes
+// notice the partition before the call, otherwise after the call.
 func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// takeMessages takes all messages that the node sends now and returns the number of updates in them. The acknowledgement of
-// each message is delivered after the delay after.
+// takeMessages takes all messages that the node sends now and returns the number of updates in them. The parameter after is
+// the time until the acknowledgement of each message is delivered.
 func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
@@ -59,7 +59,7 @@
 	return sent
 }
 
-// runUntil advances the clock to t. The acknowledgement of each message is delivered after the delay after.
+// runUntil advances the clock to t. The parameter after is the time until the acknowledgement of each message is delivered.
 func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
 	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
@@ -92,7 +92,7 @@
 }
 
 // TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. Such resends added load
-// to a receiver that was already overloaded.
+// to a node that was already busy.
 func TestLateAcksCauseFewResends(t *testing.T) {
 	const backends, followers = 1000, 100
 	c := newUpstreamFixture(backends, followers, sameZone)
@@ -106,7 +106,7 @@
 	for s := range followers {
 		must.GreaterEq(t, backends, c.recordsSent[Slot(s+1)])
 	}
-	// With a resend every 300 ms, the node sent 3.7 times as many records as without resends.
+	// With a resend every 300 ms, the node sent 3.7 times as many records.
 	must.LessEq(t, 2*backends*followers, sent())
 }
 
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -28,7 +28,7 @@
 	views    map[Slot]map[string]Record      // record of the last Changed action, by node and backend id
 }
 
-// newFleet starts n nodes. The number of nodes with a disk is disks.
+// newFleet starts n nodes. The parameter disks is the number of nodes with a disk.
 func newFleet(t *testing.T, n, disks int) *fleet {
 	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
@@ -119,7 +119,7 @@
 	target Slot
 }
 
-// sendHeartbeat has a backend send a heartbeat to the node at and returns the answer. The answer is the zero value if the
+// sendHeartbeat has a backend send a heartbeat to the node with the slot at and returns the answer. The answer is zero if the
 // node has not answered yet. The target of the backend's next heartbeat becomes the node that the answer names.
 func (f *fleet) sendHeartbeat(b *backend, at Slot) Acknowledge {
 	b.Seq++
@@ -341,7 +341,7 @@
 	must.MapContainsKey(t, f.acks[0], ticket)
 	must.False(t, f.acks[0][ticket].Confirmed)
 
-	// Node 1 receives messages again. The departure is still in flight, and the next call finds it acknowledged.
+	// Nodes 1 and 3 receive messages again. The message with the departure is resent and acknowledged before the next call.
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{0, 3})
 	f.advance(time.Second)
--- a/internal/gateway/registry/wire_test.go
+++ b/internal/gateway/registry/wire_test.go
@@ -16,8 +16,8 @@
 		SlowStartLeft: time.Second, Seq: 5, Draining: true, Deregistered: true, Age: 2 * time.Second, Owner: 1, FencingToken: 3, LostOwner: 2}
 }
 
-// TestWireFormsKeepEveryField guards against a field that is added to Record or Message but not to its wire form. It would
-// be lost between two nodes or over a restart.
+// TestWireFormsKeepEveryField guards against a field that is added to Record or Message but not to the wire form. The value
+// of such a field would be lost between two nodes or over a restart.
 func TestWireFormsKeepEveryField(t *testing.T) {
 	m := Message{Seq: 8, Updates: []Record{fullRecord("update")}, Heartbeats: []Record{fullRecord("heartbeat")},
 		Suspicions: []Record{fullRecord("suspicion")}, Acks: []uint64{1, 2}, FullSync: true, Unreachable: []Slot{3, 4}}
