--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -27,15 +27,15 @@
 // simService is a service of the simulated site.
 type simService struct {
 	name                string
-	backendCount        int
-	writeRate, readRate float64 // Requests per second, over all nodes.
+	backendCount        int     // The number of backends at the start.
+	writeRate, readRate float64 // Strict and patient requests per second, over all nodes.
 	typicalLatency      time.Duration
 	timeout             time.Duration
 	backends            []*simBackend
 }
 
-// faultFunc returns the evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency. The kind
-// is NoEvidence if the request has no fault.
+// faultFunc returns the kind of evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency.
+// The kind is NoEvidence if the fault does not affect the request.
 type faultFunc func(sim *simulation, node *simNode, m Mode) (kind EvidenceKind, slowdown float64)
 
 // simBackend is a simulated backend.
@@ -43,12 +43,12 @@
 	Backend
 	service         *simService
 	fault           faultFunc
-	faultFrom       time.Duration // The start of the fault.
-	faultUntil      time.Duration // The end of the fault. 0: the fault does not end.
+	faultStart      time.Duration // The start of the fault.
+	faultEnd        time.Duration // The end of the fault. 0: the fault does not end.
 	crashed         bool
 	latencyFactor   float64
 	firstEvidenceAt time.Duration // The time when a node first saw evidence.
-	faulty          bool          // Reports whether the backend itself has a fault.
+	faulty          bool          // True if the backend itself has a fault, as opposed to a link to it.
 	requests        []*simRequest // The requests in flight.
 }
 
@@ -75,8 +75,8 @@
 	access      map[Key]SetAccess
 	inFlight    map[Key]int // The number of requests in flight.
 	lastSentAt  map[Key]time.Duration
-	forgeReport func(node *simNode) *Report
-	unserved    int
+	forgeReport func(node *simNode) *Report // Returns a false report of a lying node. Nil if the node reports the truth.
+	unserved    int                         // The number of requests for which no backend was open.
 }
 
 // simulation is a site with nodes in three zones, its backends, the core's log and the links between them.
@@ -93,21 +93,23 @@
 	state           *State
 	events          map[time.Duration][]func()
 	partitions      []partition
-	baseErrorRate   float64 // The share of requests that any backend answers with a 5xx.
+	baseErrorRate   float64 // The fraction of requests that any backend answers with a 5xx, also without a fault.
 	startedBackends int
 
 	faultCounts                      map[EvidenceKind]int // The number of requests with a fault, by kind.
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	worstPatientShare                float64       // The largest number of backends not open to patient requests, as a fraction of the allowed number (the ready ones minus minInService).
-	wronglyClosed                    time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
-	wronglyClosedLocally             time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
-	wronglyEjected                   map[InstanceID]bool
-	maxSoleEjections                 int // The largest number of simultaneous ejections on the evidence of the lying node alone.
+	// The largest number of backends not open to patient requests, as a fraction of the allowed number. The allowed number is the number of ready
+	// backends minus Settings.requiredInService.
+	worstPatientShare    float64
+	wronglyClosed        time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
+	wronglyClosedLocally time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
+	wronglyEjected       map[InstanceID]bool
+	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
 
-// partition separates a zone or a node from all others for a period.
+// partition separates one zone or one node from everything else for a period.
 type partition struct {
 	zone, node int // -1: none.
 	from, to   time.Duration
@@ -156,7 +158,7 @@
 func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
 	sim.startedBackends++
 	b := &simBackend{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", sim.startedBackends)), Service: svc.name, Zone: zoneName(zone)}, service: svc,
-		latencyFactor: math.Exp(0.15 * sim.rng.NormFloat64()), faultFrom: farFuture, firstEvidenceAt: farFuture}
+		latencyFactor: math.Exp(0.15 * sim.rng.NormFloat64()), faultStart: farFuture, firstEvidenceAt: farFuture}
 	sim.backends, svc.backends = append(sim.backends, b), append(svc.backends, b)
 	sim.updateRegistry(b)
 	return b
@@ -182,8 +184,9 @@
 	sim.coordinator.ApplyState(sim.state, nil)
 }
 
-// partitionedUntil returns the end of the partitions between two places. It returns 0 if they can reach each other. A node of -1 is a backend.
-func (sim *simulation) partitionedUntil(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
+// partitionEnd returns the time when the last current partition between two participants ends, or 0 if they can reach each other. A participant
+// is a node in a zone, or a backend in a zone if the node is -1.
+func (sim *simulation) partitionEnd(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
 	for _, p := range sim.partitions {
 		if sim.now < p.from || sim.now >= p.to {
 			continue
@@ -196,7 +199,7 @@
 	return until
 }
 
-// schedule runs an event after a delay of at least one tick.
+// schedule enqueues an event that the simulation runs after a delay of at least one tick.
 func (sim *simulation) schedule(delay time.Duration, event func()) {
 	at := (sim.now + max(delay, tickInterval)).Truncate(tickInterval)
 	sim.events[at] = append(sim.events[at], event)
@@ -230,9 +233,9 @@
 	}
 }
 
-// applyEntries applies the entries that have arrived at a node, if the node is connected to the coordinator's node.
-func (sim *simulation) applyEntries(node *simNode) {
-	connected := sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0
+// applyArrivedEntries applies the entries that have arrived at a node, if the node is connected to the coordinator's node.
+func (sim *simulation) applyArrivedEntries(node *simNode) {
+	connected := sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0
 	if node.SetConnected(connected); !connected {
 		return
 	}
@@ -269,7 +272,7 @@
 		sim.sendRequests(svc, Patient, svc.readRate)
 	}
 	for _, node := range sim.nodes {
-		sim.applyEntries(node)
+		sim.applyArrivedEntries(node)
 		if sim.now%(2*tickInterval) == 0 || len(node.delayed) > 0 {
 			node.Tick(sim.now)
 		}
@@ -285,7 +288,7 @@
 			}
 		case BroadcastRequest:
 			for _, node := range sim.nodes {
-				if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
+				if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
 					sim.schedule(tickInterval, func() { node.HandleReportRequest(action.Request) })
 				}
 			}
@@ -293,7 +296,7 @@
 	}
 }
 
-// hasQuorum reports whether the coordinator's node is connected to the majority, which is two of the three zones.
+// hasQuorum reports whether the coordinator's node reaches a majority, which means that no partition separates its zone or the node itself.
 func (sim *simulation) hasQuorum() bool {
 	for _, p := range sim.partitions {
 		if sim.now >= p.from && sim.now < p.to && (p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode) {
@@ -303,7 +306,7 @@
 	return true
 }
 
-// handleActions carries out a node's pending actions. It replaces the reports of a lying node by forged ones.
+// handleActions carries out a node's pending actions. For a lying node it delivers forged reports in place of the true ones.
 func (sim *simulation) handleActions(node *simNode) {
 	for action, ok := node.Next(); ok; action, ok = node.Next() {
 		switch action := action.(type) {
@@ -317,7 +320,7 @@
 			node.access[action.Key] = action
 		case Probe:
 			for _, b := range sim.backends {
-				if b.ID == action.ID && !b.crashed && sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
+				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
 					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
 				}
 			}
@@ -344,7 +347,7 @@
 	}
 	for range copies {
 		sim.schedule(time.Duration(sim.rng.Intn(60))*ms, func() {
-			if sim.partitionedUntil(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
+			if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
 				sim.coordinator.HandleReport(node.slot, report)
 			}
 		})
@@ -367,7 +370,7 @@
 }
 
 // pickBackend returns a backend of the node's zone to which the node may send a request now, or such a backend of another zone if the node's zone
-// has none. It returns nil if there is no such backend in any zone. One of ten requests goes to another zone.
+// has none. It returns nil if there is no such backend in any zone. About one request in ten goes to another zone.
 func (sim *simulation) pickBackend(node *simNode, svc *simService, m Mode) *simBackend {
 	var near, far []*simBackend
 	for _, b := range svc.backends {
@@ -383,7 +386,7 @@
 			far = append(far, b)
 		}
 	}
-	if len(near) == 0 || sim.rng.Intn(10) == 0 && len(far) > 0 { // Some requests cross zones in any case.
+	if len(near) == 0 || sim.rng.Intn(10) == 0 && len(far) > 0 {
 		near = far
 	}
 	if len(near) == 0 {
@@ -394,24 +397,25 @@
 
 func (sim *simulation) sendRequest(node *simNode, b *simBackend, m Mode) {
 	svc := b.service
-	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now, outcome: AttemptEnd{Ending: control.Succeeded}}
+	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now,
+		outcome: AttemptEnd{Ending: control.Succeeded}}
 	node.inFlight[req.key]++
 	node.lastSentAt[req.key] = sim.now
 	kind, slowdown := NoEvidence, 1.0
-	if b.fault != nil && sim.now >= b.faultFrom {
+	if b.fault != nil && sim.now >= b.faultStart {
 		kind, slowdown = b.fault(sim, node, m)
 	}
 	if kind == NoEvidence && sim.rng.Float64() < sim.baseErrorRate {
 		kind = ServerError
 	}
 	latency := time.Duration(float64(svc.typicalLatency) * b.latencyFactor * slowdown * math.Exp(0.4*sim.rng.NormFloat64()))
-	if b.faultUntil > 0 { // After the end of the fault the request continues at the usual speed.
-		latency = min(latency, b.faultUntil-sim.now+time.Duration(float64(latency)/slowdown))
+	if b.faultEnd > 0 { // After the end of the fault the request continues at the usual speed.
+		latency = min(latency, b.faultEnd-sim.now+time.Duration(float64(latency)/slowdown))
 	}
-	if until := sim.partitionedUntil(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
+	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
-	for _, p := range sim.partitions { // A partition that begins while the request is in flight.
+	for _, p := range sim.partitions { // A partition that begins while the request is in flight delays the answer.
 		inside := func(index, zone int) bool { return p.node >= 0 && index == p.node || p.zone >= 0 && zone == p.zone }
 		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
 			latency += p.to - p.from + time.Duration(200+sim.rng.Intn(800))*ms
@@ -450,7 +454,7 @@
 	req.done = true
 	node := req.node
 	node.inFlight[req.key]--
-	if kind := req.outcome.EvidenceKind(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultFrom {
+	if kind := req.outcome.EvidenceKind(); kind > CleanAnswer && req.backend.firstEvidenceAt == farFuture && sim.now > req.backend.faultStart {
 		req.backend.firstEvidenceAt = sim.now
 	}
 	node.Node.now = sim.now
@@ -490,16 +494,16 @@
 				}
 			}
 		}
-		minimum := node.state.Settings().minInService(ready)
+		minimum := node.state.Settings().requiredInService(ready)
 		if open < minimum {
-			panic(fmt.Sprintf("node %d has %d of %d backends open, the minimum is %d", node.slot, open, ready, minimum))
+			panic(fmt.Sprintf("too few backends open to patient requests: node=%d open=%d ready=%d minimum=%d", node.slot, open, ready, minimum))
 		}
 		sim.worstPatientShare = max(sim.worstPatientShare, float64(ready-open)/float64(max(ready-minimum, 1)))
 	}
 }
 
-// injectFault gives a share of a service's backends a fault that affects a share of the requests of a mode. If caller is not -1, the fault
-// affects only requests from nodes of that zone to backends elsewhere.
+// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If caller is not -1, the fault
+// is a link fault: it affects only requests from nodes of the zone with the number caller to backends of other zones.
 func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, caller int) {
 	var candidates []*simBackend
 	for _, b := range sim.backends {
@@ -508,7 +512,7 @@
 		}
 	}
 	for _, b := range candidates[:int(backendShare*float64(len(candidates)))] {
-		b.faultFrom, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
+		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
 		b.fault = func(sim *simulation, node *simNode, mode Mode) (EvidenceKind, float64) {
 			if mode == m && sim.rng.Float64() < requestShare && (caller < 0 || caller == node.zone && caller != zoneOf(b)) {
 				return kind, 1
@@ -518,7 +522,7 @@
 	}
 }
 
-// resetConnections ends the requests in flight that match by a connection reset.
+// resetConnections ends, by a connection reset, all requests in flight for which matches returns true.
 func (sim *simulation) resetConnections(matches func(req *simRequest) bool) {
 	for _, b := range sim.backends {
 		for _, req := range slices.Clone(b.requests) {
@@ -530,7 +534,7 @@
 	}
 }
 
-// crashBackend stops a backend without notice. The registry learns of it after 3 s, and a new instance starts after 5 s.
+// crashBackend stops a backend without notice. The registry learns of the crash after 3 s, and a new instance starts after 5 s.
 func (sim *simulation) crashBackend(b *simBackend) {
 	if b.crashed || b.Phase != Ready {
 		return
@@ -551,7 +555,8 @@
 	sim.updateRegistry(b)
 }
 
-// scheduleDisturbances schedules the usual disturbances of a site. None of them is a faulty backend.
+// scheduleDisturbances schedules random disturbances: crashes, partitions, connection resets, slow backends and restarts. The given interval is
+// the mean time between two disturbances. No disturbance is a fault for which a backend should be ejected.
 func (sim *simulation) scheduleDisturbances(interval time.Duration) {
 	sim.baseErrorRate = 0.01
 	randomBackend := func() *simBackend {
@@ -561,7 +566,8 @@
 	addPartition := func(p partition, from time.Duration) {
 		p.from, p.to = from, from+time.Duration(1000+sim.rng.Intn(7000))*ms
 		sim.partitions = append(sim.partitions, p)
-		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode { // The next coordinator is on the other side of the partition.
+		// If the partition separates the coordinator's node, another coordinator starts on the other side of the partition.
+		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode {
 			sim.schedule(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
@@ -584,10 +590,10 @@
 				sim.resetConnections(func(req *simRequest) bool { return req.node == node })
 			case 5: // A backend is slow for ten seconds.
 				b, slowdown := randomBackend(), []float64{3, 10, 100}[sim.rng.Intn(3)]
-				b.faultFrom, b.faultUntil = sim.now, sim.now+10*time.Second
+				b.faultStart, b.faultEnd = sim.now, sim.now+10*time.Second
 				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
-				sim.schedule(10*time.Second, func() { b.fault, b.faultUntil = nil, 0 })
-			case 6:
+				sim.schedule(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
+			case 6: // A backend is replaced by a new instance.
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
 					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
@@ -599,19 +605,19 @@
 }
 
 // checkConvergence ends all partitions and lets the nodes apply all log entries. It panics if a node's state then differs from the log's, or if
-// two nodes differ in the requests that they may send to a backend. Local ejections may differ between nodes, so they are left out.
+// two nodes differ in the requests that they may send to a backend. Local ejections may differ between nodes and are not compared.
 func (sim *simulation) checkConvergence() {
 	sim.partitions = nil
 	for _, node := range sim.nodes {
 		node.applyAt = map[int]time.Duration{}
-		sim.applyEntries(node)
+		sim.applyArrivedEntries(node)
 		sim.handleActions(node)
 		if !bytes.Equal(sim.state.Snapshot(), node.state.Snapshot()) {
-			panic(fmt.Sprint("node ", node.slot, " differs in its state from the log"))
+			panic(fmt.Sprint("the state of node ", node.slot, " differs from the state of the log after all entries were applied"))
 		}
 		for k, access := range node.access {
 			if other := sim.nodes[0].access[k]; !access.Local && !other.Local && access.Access != other.Access {
-				panic(fmt.Sprintf("nodes %d and 0 differ in which requests they may send to %v", node.slot, k))
+				panic(fmt.Sprintf("node %d and node 0 have different access to the key %v", node.slot, k))
 			}
 		}
 	}
@@ -649,8 +655,8 @@
 	return defaultCount
 }
 
-// Guards against ejections of healthy backends because of the usual disturbances, which occur every five seconds on average. At most
-// one wrong ejection is allowed, and one more for every ten simulated hours.
+// Guards against ejections of healthy backends because of the disturbances of scheduleDisturbances, which occur every five seconds on average.
+// At most one wrong ejection is allowed, and one more for every ten simulated hours.
 func TestDisturbancesRarelyEjectHealthyBackends(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -666,7 +672,8 @@
 			sim.checkConvergence()
 			return sim
 		}, func(sim *simulation) {
-			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections, max(worstShare, sim.worstPatientShare), simulated+sim.now
+			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections,
+				max(worstShare, sim.worstPatientShare), simulated+sim.now
 			closedLocally, reports = closedLocally+sim.wronglyClosedLocally, reports+sim.reportsSent
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && sim.wronglyEjected[record.Key.ID] {
@@ -674,14 +681,14 @@
 				}
 			}
 		})
-		t.Logf("%d nodes, %d seeds, %v simulated: %d of %d ejections wrong; largest number of backends not open to repeatable requests, as a fraction of the allowed number: %.2f; healthy backends closed to non-repeatable requests by local ejections: %v per node; %.1f reports/s",
+		t.Logf("nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d worst_patient_share=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
 }
 
-// forgedReport returns a lying node's report. It holds evidence of every kind against up to forty backends, confirms the losses that other
-// nodes report, and claims that all other backends are healthy.
+// forgedReport returns the report of a lying node, which is a node that sends false reports. The report holds evidence of every kind against up
+// to forty backends, confirms the losses that other nodes report, and claims that all other backends are healthy. It is nil between two reports.
 func (sim *simulation) forgedReport(node *simNode) *Report {
 	if sim.now%(4*tickInterval) != 0 || sim.now < 5*time.Second {
 		return nil
@@ -696,7 +703,7 @@
 		for m := range modeCount {
 			observation := Observation{Key: Key{sim.backends[i].ID, m}, Window: Window{0, 1000, 0}, ServiceWindow: Window{1 << 20, 0, 0}, Slots: slots,
 				Totals: Totals{Failing: 1 << 20}}
-			observation.Rev = node.state.revision(observation.Key)
+			observation.Rev = node.state.ejectionRevision(observation.Key)
 			for kind := ServerError; kind < evidenceKindCount; kind++ {
 				observation.Evidence = append(observation.Evidence, Evidence{kind, 0, 2 * time.Second})
 			}
@@ -706,8 +713,8 @@
 	return report
 }
 
-// Guards against a node that ejects backends with false reports. At no time may the number of ejections on that node's evidence alone exceed the
-// limits of Settings.soleWitnessLimits. Each refutation lowers the limits.
+// Guards against a node that ejects backends with false reports. At no time may the number of ejections on the evidence of this node alone exceed
+// Settings.soleWitnessLimits.
 func TestOneLyingNode(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -723,17 +730,17 @@
 				sim.scheduleDisturbances(5 * time.Second)
 			}
 			sim.baseErrorRate = 0.004
-			liar := sim.nodes[1]
-			liar.forgeReport = sim.forgedReport
+			lyingNode := sim.nodes[1]
+			lyingNode.forgeReport = sim.forgedReport
 			for sim.now < 90*time.Second {
 				sim.step()
 				soleEjections, byService := 0, map[string]int{}
 				for _, ejection := range sim.state.Ejections() {
-					if ejection.Step != InService && ejection.SoleWitness == liar.slot {
+					if ejection.Step != InService && ejection.SoleWitness == lyingNode.slot {
 						soleEjections++
 						byService[ejection.Service+ejection.Mode.String()]++
 					} else if ejection.Step != InService && !tc.disturbed {
-						panic(fmt.Sprintf("%v is ejected on the evidence of more than the lying node", ejection))
+						panic(fmt.Sprintf("ejection %+v does not rest on the evidence of the lying node alone", ejection))
 					}
 				}
 				sim.maxSoleEjections = max(sim.maxSoleEjections, soleEjections)
@@ -741,21 +748,23 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("node %d alone has ejected %d backends of %s, %d in total", liar.slot, count, svc.name, soleEjections))
+							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d",
+								lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
 				}
 			}
 			return sim
 		}, func(sim *simulation) {
-			maxEjected, ejections, closedTime, simulated = max(maxEjected, sim.maxSoleEjections), ejections+sim.ejections, closedTime+sim.wronglyClosed, simulated+sim.now
+			maxEjected, ejections, closedTime, simulated = max(maxEjected, sim.maxSoleEjections), ejections+sim.ejections,
+				closedTime+sim.wronglyClosed, simulated+sim.now
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && len(record.Witnesses) > 1 && sim.wronglyEjected[record.Key.ID] {
 					sharedEjections++
 				}
 			}
 		})
-		t.Logf("%d nodes, disturbances %v, %d seeds, %v simulated: at most %d backends ejected at once on the lying node's evidence alone; %d ejections (%d of healthy backends with other witnesses); healthy backends closed to non-repeatable requests: %v per node",
+		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_with_several_witnesses=%d wrongly_closed=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
@@ -770,7 +779,7 @@
 }
 
 // Guards against slow detection of a faulty backend. The test measures the time from the first evidence to the ejection, and the time from the
-// ejection until the connected nodes apply it. Faults of one zone's links, and faults that all backends have alike, must eject no backend.
+// ejection until the connected nodes apply the entry. Faults of one zone's links, and faults that all backends have equally, must eject no backend.
 func TestDetectionTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -782,20 +791,20 @@
 		mode         Mode
 		kind         EvidenceKind
 		requestShare float64
-		caller       int           // Only requests from this zone to backends elsewhere are affected. -1: all requests.
-		maxMedian    time.Duration // The specified limit of the median. 0: no ejection is expected.
+		caller       int           // Only requests from this zone to backends of other zones are affected. -1: all requests.
+		maxMedian    time.Duration // The limit for the median time to the ejection. 0: no ejection is expected.
 	}{
 		{"one answer in forty lost", 12, smallSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
 		{"one answer in forty lost", 96, largeSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all within two seconds, no seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one in five fails by 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one in five fails by 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine reads in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one in ten lost, from one zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one in ten lost, from one zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all fail by 5xx alike", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"one request in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"one request in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"all answers without a seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"one request in five answered with 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"one request in five answered with 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"nine answers in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"one answer in ten lost, on links of a zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"one answer in ten lost, on links of a zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"all backends answer half with 5xx", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
@@ -816,7 +825,8 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-32s | %2d nodes | %v, %v | %v, %v | faults %d | %d ejections of %d keys | unserved %d", tc.name, tc.nodes, medianDetection, maxDetection, medianPropagation,
+		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults=%d ejections=%d keys=%d unserved=%d", tc.name, tc.nodes,
+			medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
 	}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -13,20 +13,26 @@
 const (
 	maxEjections = 1024
 	// The maximum number of entries in the history.
-	maxHistory        = 256
-	maxCallIDs        = 256
-	maxTextBytes      = 256
-	maxTrust          = 1024
-	maxRepeats        = 16
+	maxHistory = 256
+	// The number of the newest call IDs that are stored for deduplication.
+	maxCallIDs = 256
+	// The maximum length of each text in an entry.
+	maxTextBytes = 256
+	// The maximum number of witnesses whose refutations are stored.
+	maxTrust = 1024
+	// The maximum of Ejection.Repeats.
+	maxRepeats = 16
+	// The maximum number of witnesses in an Eject entry.
 	maxNamedWitnesses = 8
-	// After this number of entries half of a witness's refutations are forgiven. It is about five ejections with their recoveries.
+	// The number of revisions of the state after which only half of a witness's refutations still count. Each entry raises the revision by one. About
+	// five ejections with their recoveries take this number of entries.
 	refutationHalvingPeriod = 24
 )
 
 // State is the replicated state that results from the entries of the log. It is the same on all nodes.
 type State struct{ snapshot }
 
-// snapshot is the stored form of the state. Gob stores the field names, so they must not change.
+// snapshot is the stored form of the state. Gob stores the names of the fields. Therefore no field may be renamed.
 type snapshot struct {
 	Settings         Settings
 	SettingsRevision uint64
@@ -55,29 +61,30 @@
 
 // Ejection returns the ejection of a key, or nil if none is stored. The caller must not change it.
 func (s *State) Ejection(k Key) *Ejection {
-	if i, ok := s.find(k); ok {
+	if i, ok := s.findEjection(k); ok {
 		return &s.snapshot.Ejections[i]
 	}
 	return nil
 }
 
-// revision returns the revision of a key's ejection, under which its evidence is gathered now. It is 0 if no ejection is stored.
-func (s *State) revision(k Key) uint64 {
+// ejectionRevision returns the revision of a key's ejection, or 0 if no ejection is stored. Only evidence that was observed under this revision
+// counts.
+func (s *State) ejectionRevision(k Key) uint64 {
 	if ejection := s.Ejection(k); ejection != nil {
 		return ejection.Rev
 	}
 	return 0
 }
 
-// find returns the index of a key's ejection, or the index to insert it at and false.
-func (s *State) find(k Key) (int, bool) {
+// findEjection returns the index of a key's ejection and true. If no ejection is stored, it returns the index at which to insert one and false.
+func (s *State) findEjection(k Key) (int, bool) {
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// refute records that a backend that was ejected on the evidence of w alone came back into service, and that no other node had confirmed the
-// evidence.
-func (s *State) refute(w Slot) {
-	n := s.refutations(w) + 1
+// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service, and no other
+// node had confirmed the evidence.
+func (s *State) recordRefutation(w Slot) {
+	n := s.refutationCount(w) + 1
 	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
 	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
 }
@@ -97,7 +104,7 @@
 	case SetSettings:
 		s.snapshot.Settings, s.SettingsRevision = *e.Settings, s.Revision
 		err := s.snapshot.Settings.Normalize()
-		invariant.Assert(err == nil, "settings of an accepted entry are valid")
+		invariant.Assert(err == nil, "the settings of an accepted entry are valid")
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
@@ -106,7 +113,7 @@
 	default:
 		ejection := s.Ejection(e.Key)
 		if e.Verb == Readmit && ejection.SoleWitness != membership.NoSlot {
-			s.refute(ejection.SoleWitness)
+			s.recordRefutation(ejection.SoleWitness)
 		}
 		if e.Verb == StepUp {
 			step = ejection.Step.next(ejection.Mode)
@@ -121,15 +128,15 @@
 	return routing.Accepted, nil
 }
 
-// eject starts an ejection. If too many ejections are stored, it drops the oldest one whose backend is back in service.
+// eject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
 func (s *State) eject(e *Entry) {
 	sole, _ := s.soleWitness(e)
-	i, exists := s.find(e.Key)
+	i, exists := s.findEjection(e.Key)
 	if !exists {
 		if len(s.snapshot.Ejections) >= maxEjections {
-			oldest := s.oldestInService()
+			oldest := s.oldestInServiceIndex()
 			s.snapshot.Ejections = slices.Delete(s.snapshot.Ejections, oldest, oldest+1)
-			i, _ = s.find(e.Key)
+			i, _ = s.findEjection(e.Key)
 		}
 		s.snapshot.Ejections = slices.Insert(s.snapshot.Ejections, i, Ejection{Key: e.Key, Repeats: -1})
 	}
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -7,13 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// partition drops all messages between two nodes from now on. The nodes notice it at the next updateNodes.
-func (f *fleet) partition(a, b Slot) {
+// partitionNodes drops all messages between two nodes from now on. The nodes notice the partition at the next updateNodes.
+func (f *fleet) partitionNodes(a, b Slot) {
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// drain has a backend report at a node that it is draining. answered is false if the node has not answered yet.
-func (f *fleet) drain(b *backend, at Slot) (a Acknowledge, answered bool) {
+// sendDrainCall has a backend report to a node that the backend is draining. The parameter at is the slot of the node. The
+// results are the answer and whether the node has answered yet.
+func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
 	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
@@ -21,46 +22,45 @@
 	return a, answered
 }
 
-// TestDepartureNeedsMinCopies guards against departures that are confirmed with too few copies. The number of copies must
-// be one more than the number of tolerated losses, however few nodes are reachable. In the first moments of a partition a
-// node without a disk reached only its upstream, and a node with a disk only its followers, and copies at all reachable
-// nodes were taken as sufficient. If too few nodes with a disk are reachable, the call must fail at once, so that the
-// backend turns to the next node.
+// TestDepartureNeedsMinCopies guards against departures that are confirmed with too few copies. Copies at all reachable
+// nodes were once taken as sufficient, although at the start of a partition a node without a disk reached only its upstream,
+// and a node with a disk only its followers. If fewer than MinCopies nodes with a disk are reachable, the call must fail at
+// once, so that the backend calls the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
 	for _, at := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
 		b := newBackend(1)
-		f.heartbeat(b, 1)
+		f.sendHeartbeat(b, 1)
 		f.advance(time.Second)
 		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
 			for _, o := range []Slot{1, 2} {
-				f.partition(isolated, o)
+				f.partitionNodes(isolated, o)
 			}
 		}
 		f.updateNodes()
-		a, answered := f.drain(b, at)
+		a, answered := f.sendDrainCall(b, at)
 		must.True(t, answered, must.Sprint("drain call during the partition, at node ", at))
 		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", at))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
-		a, answered = f.drain(b, at)
+		a, answered = f.sendDrainCall(b, at)
 		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", at))
 		f.requirePhase(b.ID, Draining)
 	}
 }
 
-// TestDepartureWaitsForAnotherDisk checks that a departure stays unconfirmed while the only other reachable node with a
-// disk does not acknowledge the departure. Once that node acknowledges it, the departure must be confirmed. The call must
-// not wait for followers that cannot answer.
+// TestDepartureWaitsForAnotherDisk guards against a departure that is confirmed although the only other reachable node with
+// a disk has not acknowledged the departure. Once that node acknowledges the departure, the departure must be confirmed. The
+// call must not wait for followers that cannot answer.
 func TestDepartureWaitsForAnotherDisk(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.advance(time.Second)
-	f.partition(0, 2)
+	f.partitionNodes(0, 2)
 	f.updateNodes()
-	f.partition(0, 1) // not noticed by any node
-	_, answered := f.drain(b, 0)
+	f.partitionNodes(0, 1) // not noticed by any node
+	_, answered := f.sendDrainCall(b, 0)
 	must.False(t, answered)
 	f.advance(minCopiesTimeout)
 	for ticket, a := range f.acks[0] {
@@ -69,19 +69,19 @@
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{1, 0})
 	f.advance(time.Second)
-	a, answered := f.drain(b, 0)
+	a, answered := f.sendDrainCall(b, 0)
 	must.True(t, answered && a.Confirmed)
 }
 
-// TestDepartureInRelayedHeartbeatIsBroadcast guards against followers that never receive a departure. A relayed heartbeat
-// may carry a departure before its update arrives, while updates to this node wait for acknowledgements. The later update
-// then changed nothing and was not forwarded. The departure in the heartbeat must be forwarded like any other.
+// TestDepartureInRelayedHeartbeatIsBroadcast guards against followers that never receive a departure. If updates to a node
+// are delayed, a relayed heartbeat with a departure may arrive before the update with the same departure. The later update
+// then changed nothing and was not forwarded. The departure in the heartbeat must therefore be broadcast.
 func TestDepartureInRelayedHeartbeatIsBroadcast(t *testing.T) {
 	for registrar := range Slot(3) {
 		f := newFleet(t, 6, 3)
 		b := newBackend(1)
-		f.heartbeat(b, 0)
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, 0)
+		f.sendHeartbeat(b, b.target)
 		f.advance(time.Second)
 		departing := b.Record
 		departing.Seq, departing.Phase, departing.Draining, departing.Owner, departing.LostOwner = b.Seq+1, Draining, true, NoSlot, NoSlot
@@ -91,9 +91,10 @@
 	}
 }
 
-// TestDeparturesAreRelayedAroundPartition checks a partition between only two nodes with a disk. Both reach a majority
-// through the third, and both have followers. A departure that one of them has must reach the other through the third,
-// whichever node has it first. This includes a departure that was in flight when the partition was noticed.
+// TestDeparturesAreRelayedAroundPartition guards against a departure that does not pass a partition between two of the three
+// nodes with a disk. Both nodes are in contact with a majority, because both reach the third node with a disk. A departure
+// that one of the two nodes has must reach the other through the third, whichever node receives the call. This also holds for
+// a departure that was in flight when the partition was noticed.
 func TestDeparturesAreRelayedAroundPartition(t *testing.T) {
 	for at := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
@@ -104,22 +105,22 @@
 	}
 }
 
-// requireDrainAroundPartition partitions nodes 0 and 1 from each other and drains the backend at the node at. All nodes
-// must then know the departure, and must stop sending it. noticed tells whether the nodes notice the partition before the
-// call or after it.
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node with
+// the slot at. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes
+// notice the partition before the call, otherwise after the call.
 func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
-	f.heartbeat(b, 2)
+	f.sendHeartbeat(b, 2)
 	f.advance(time.Second)
-	f.partition(0, 1)
+	f.partitionNodes(0, 1)
 	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
-		f.partition(5, 1)
+		f.partitionNodes(5, 1)
 	}
 	if noticed {
 		f.updateNodes()
 	}
-	f.drain(b, at)
+	f.sendDrainCall(b, at)
 	if !noticed {
 		f.advance(600 * ms)
 		f.updateNodes()
@@ -128,29 +129,29 @@
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("the departure is sent in a loop, called at node ", at))
+	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", at))
 }
 
-// TestNewFollowerReceivesDepartures guards against requests to a deregistered backend for the duration of a full sync. A
-// new follower must be sent the departure as well, although the full sync otherwise covers only backends that are not
+// TestNewFollowerReceivesDepartures guards against a new follower that keeps sending requests to a backend that deregistered
+// while the follower was isolated. The full sync must include recent departures in addition to the backends that are not
 // gone.
 func TestNewFollowerReceivesDepartures(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
-	f.heartbeat(b, 1)
+	f.sendHeartbeat(b, 1)
 	f.advance(time.Second)
 	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
-	f.partition(3, 0)
+	f.partitionNodes(3, 0)
 	for o := range Slot(2) {
-		f.partition(3, o+1)
+		f.partitionNodes(3, o+1)
 	}
 	f.updateNodes()
-	f.drain(b, 1)
+	f.sendDrainCall(b, 1)
 	f.registries[1].Deregister(b.ID)
 	f.advance(time.Second)
 	must.Eq(t, Ready, f.views[3][b.ID].Phase)
 	f.partitioned = map[[2]Slot]bool{}
-	f.partition(3, 0)
+	f.partitionNodes(3, 0)
 	f.updateNodes()
 	f.advance(100 * ms)
 	must.Eq(t, Gone, f.views[3][b.ID].Phase)
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -8,12 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// followerCrowd is a node with a disk that many nodes begin to follow at once. This happens after the loss of all nodes.
-type followerCrowd struct {
+// upstreamFixture is a node with a disk that many nodes begin to follow at the same time, as after the loss of all nodes.
+type upstreamFixture struct {
 	registry    *Registry
-	recordsSent map[Slot]int  // by receiver
+	recordsSent map[Slot]int  // number of records sent, by receiver
 	unacked     []pendingAck  // acknowledgements to be delivered
-	fullSyncs   map[Slot]bool // receivers of a full sync marker
+	fullSyncs   map[Slot]bool // receivers of a message that starts a full sync
 }
 
 // pendingAck is an acknowledgement that the node receives at a later time.
@@ -23,13 +23,14 @@
 	seq   uint64
 }
 
-// oneZone puts all backends and followers into one zone.
-func oneZone(int) string { return "" }
+// sameZone returns the same zone for every backend and follower.
+func sameZone(int) string { return "" }
 
-// newFollowerCrowd returns a node with the given numbers of backends and followers. zone returns the zone of the backend
+// newUpstreamFixture returns a node with the given numbers of backends and followers. zone returns the zone of the backend
 // or follower with index i.
-func newFollowerCrowd(backends, followers int, zone func(i int) string) *followerCrowd {
-	c := &followerCrowd{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{}, fullSyncs: map[Slot]bool{}}
+func newUpstreamFixture(backends, followers int, zone func(i int) string) *upstreamFixture {
+	c := &upstreamFixture{registry: New(0, Config{HeartbeatInterval: time.Minute, MinCopies: 1, Incarnation: 1}, 0), recordsSent: map[Slot]int{},
+		fullSyncs: map[Slot]bool{}}
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	c.registry.SetNodes(nodes)
 	for i := range backends {
@@ -44,9 +45,9 @@
 	return c
 }
 
-// collect takes all messages that are due, schedules the acknowledgement of each one after the given delay, and returns
-// the number of updates in them.
-func (c *followerCrowd) collect(after time.Duration) (sent int) {
+// takeMessages takes all messages that the node sends now and returns the number of updates in them. The parameter after is
+// the time until the acknowledgement of each message is delivered.
+func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
@@ -58,8 +59,8 @@
 	return sent
 }
 
-// runUntil advances the clock to t and delivers acknowledgements when they are due.
-func (c *followerCrowd) runUntil(t time.Duration, after time.Duration) {
+// runUntil advances the clock to t. The parameter after is the time until the acknowledgement of each message is delivered.
+func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
 	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		pending := c.unacked
@@ -71,18 +72,18 @@
 				c.unacked = append(c.unacked, ack)
 			}
 		}
-		c.collect(after)
+		c.takeMessages(after)
 	}
 }
 
-// TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. With little processor time,
-// each follower received its records so late that it stopped waiting and asked another node for all records again. With
-// 300 nodes, the nodes did no other work and served no requests for half a minute.
+// TestFullSyncsAreBounded guards against a node that syncs all of its new followers at once. On a busy machine, each follower
+// received its records so late that the follower timed out and requested all records from another node. With 300 nodes, the
+// nodes served no requests for half a minute.
 func TestFullSyncsAreBounded(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers, oneZone)
-	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.collect(time.Hour)) // no follower acknowledges
-	c = newFollowerCrowd(backends, followers, oneZone)
+	c := newUpstreamFixture(backends, followers, sameZone)
+	must.LessEq(t, maxFullSyncs*maxInFlight*maxUpdatesPerMessage, c.takeMessages(time.Hour)) // no follower acknowledges
+	c = newUpstreamFixture(backends, followers, sameZone)
 	c.runUntil(4*time.Second, 10*time.Millisecond)
 	for s := range followers {
 		must.True(t, c.fullSyncs[Slot(s+1)])
@@ -90,11 +91,11 @@
 	}
 }
 
-// TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. They added load to a
-// node that was already busy.
+// TestLateAcksCauseFewResends guards against repeated resends of messages that are acknowledged late. Such resends added load
+// to a node that was already busy.
 func TestLateAcksCauseFewResends(t *testing.T) {
 	const backends, followers = 1000, 100
-	c := newFollowerCrowd(backends, followers, oneZone)
+	c := newUpstreamFixture(backends, followers, sameZone)
 	sent := func() (n int) {
 		for _, x := range c.recordsSent {
 			n += x
@@ -105,15 +106,15 @@
 	for s := range followers {
 		must.GreaterEq(t, backends, c.recordsSent[Slot(s+1)])
 	}
-	// Resends each 300 ms sent 3.7 times as many records.
+	// With a resend every 300 ms, the node sent 3.7 times as many records.
 	must.LessEq(t, 2*backends*followers, sent())
 }
 
-// TestLostFollowersEndTheirFullSyncs checks that a full sync ends when its follower is lost, and that the next queued one
-// then starts.
+// TestLostFollowersEndTheirFullSyncs guards against full syncs of lost followers that count as running forever. A full sync
+// must end when its follower is lost, and the next queued full sync must then start.
 func TestLostFollowersEndTheirFullSyncs(t *testing.T) {
-	c := newFollowerCrowd(1000, 2*maxFullSyncs, oneZone)
-	c.collect(time.Hour)
+	c := newUpstreamFixture(1000, 2*maxFullSyncs, sameZone)
+	c.takeMessages(time.Hour)
 	nodes := []Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}}
 	for s := range 2 * maxFullSyncs {
 		nodes = append(nodes, Node{Slot: Slot(s + 1), Live: s >= maxFullSyncs, Follows: s >= maxFullSyncs})
@@ -126,12 +127,12 @@
 	}
 }
 
-// TestIdlePeersAreNotVisited guards against inputs that visit all peers. An input must visit only the peers that it
-// concerns, and none if there is nothing to send. When all peers were visited, a heartbeat cost three times as much with
-// 300 nodes as with 100.
+// TestIdlePeersAreNotVisited guards against a cost of inputs that grows with the number of peers. Next must check only the
+// peers to which something is to be sent or which have not acknowledged a message. When Next checked all peers, a heartbeat
+// cost three times as much with 300 nodes as with 100.
 func TestIdlePeersAreNotVisited(t *testing.T) {
-	c := newFollowerCrowd(100, 50, oneZone)
-	c.collect(time.Hour)
+	c := newUpstreamFixture(100, 50, sameZone)
+	c.takeMessages(time.Hour)
 	must.SliceNotEmpty(t, c.registry.activePeers)
 	for range 20 {
 		pending := c.unacked
@@ -139,12 +140,12 @@
 		for _, ack := range pending {
 			c.registry.Receive(ack.to, Message{Acks: []uint64{ack.seq}})
 		}
-		c.collect(time.Hour)
+		c.takeMessages(time.Hour)
 	}
 	must.SliceEmpty(t, c.registry.activePeers)
 	must.True(t, c.registry.HasReadyBackend())
 	c.registry.Deregister("i-7") // The departure is sent to all followers.
-	c.collect(time.Hour)
+	c.takeMessages(time.Hour)
 	must.SliceLen(t, 50, c.registry.activePeers)
 	// All followers are removed.
 	c.registry.SetNodes([]Node{{Slot: 0, ControlAddr: "c:1", Live: true, HasDisk: true}})
@@ -152,14 +153,14 @@
 	must.False(t, New(0, Config{}, 0).HasReadyBackend())
 }
 
-// TestFullSyncSendsOwnZoneFirst guards against a long wait after the loss of all nodes: hundreds of nodes waited on slow
-// links for the last of hundreds of backends. A follower can serve requests with the backends of its zone alone. These
-// backends must be sent to all waiting followers before the next full sync starts. The limit maxFullSyncs applies to these
-// syncs too.
+// TestFullSyncSendsOwnZoneFirst guards against a long start-up after the loss of all nodes. On slow links, hundreds of
+// followers waited until all records of hundreds of backends had arrived. A follower can serve requests with the backends of
+// its zone alone. These backends must be sent to all waiting followers before further full syncs start. The limit
+// maxFullSyncs applies to the syncs of a zone too.
 func TestFullSyncSendsOwnZoneFirst(t *testing.T) {
 	const zones, backends, followers = 6, 600, 4 * maxFullSyncs
 	zone := func(i int) string { return fmt.Sprint("zone-", i%zones) }
-	c := newFollowerCrowd(backends, followers, zone)
+	c := newUpstreamFixture(backends, followers, zone)
 	inZone, sent := map[Slot]map[string]bool{}, map[Slot]map[string]bool{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
@@ -185,7 +186,7 @@
 		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs had no zone sync queued ahead of them.
 			must.MapLen(t, followers, inZone)
 			for s := range inZone {
-				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("node %d at %v", s, now))
+				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("backends of the own zone that were sent before further full syncs: node=%d time=%v", s, now))
 			}
 		}
 		for _, ack := range c.unacked {
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// An address may pass from one backend to another while this node still has the former backend. If several backends have
-// the same address, requests see only the one whose first sighting is the most recent.
+// A new backend may use the address of a former backend that this node does not know to be gone. If several backends have
+// the same address, requests therefore see only the backend that was first seen most recently. The other backends at the
+// address are displaced.
 
 // reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
@@ -48,8 +49,8 @@
 	}
 }
 
-// displaced reports whether another backend at the same address is not gone and was first seen more recently.
-func (r *Registry) displaced(e *entry) bool {
+// isDisplaced reports whether another backend at the same address is not gone and was first seen more recently.
+func (r *Registry) isDisplaced(e *entry) bool {
 	for _, other := range r.byAddr[e.record.Addr] {
 		if other != e && other.phase() != Gone && (other.firstSeenAt > e.firstSeenAt ||
 			other.firstSeenAt == e.firstSeenAt && other.record.ID > e.record.ID) {
@@ -59,17 +60,18 @@
 	return false
 }
 
-// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for one
-// whose service is unknown.
+// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for a
+// backend whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
-	if e.record.Service == "" || r.displaced(e) {
+	if e.record.Service == "" || r.isDisplaced(e) {
 		return Gone
 	}
 	return e.phase()
 }
 
-// publish returns a Changed action if the backend differs from its last published state. It returns false otherwise.
-func (r *Registry) publish(e *entry) (Action, bool) {
+// publishIfChanged returns a Changed action and true if the backend differs from its last published state, and stores the
+// new state as published. Otherwise it returns false.
+func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
 	record := r.recordOf(e)
 	record.Phase = r.visiblePhase(e)
 	unchanged := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -9,12 +9,12 @@
 		if from < 0 || from == r.localSlot {
 			return
 		}
-		p = r.peerFor(from)
+		p = r.findOrCreatePeer(from)
 	}
 	if p.unresponsive && p.node.Live {
 		r.SyncPeer(from)
 	}
-	r.trackFullSync(from, &m)
+	r.trackReceivedFullSync(from, &m)
 	for _, seq := range m.Acks {
 		r.handleAck(p, seq)
 	}
@@ -23,7 +23,7 @@
 	}
 	r.forwardDepartures(&m)
 	for _, heartbeat := range m.Heartbeats {
-		if e := r.entryFor(heartbeat.ID); e != nil {
+		if e := r.findOrCreateEntry(heartbeat.ID); e != nil {
 			r.handleHeartbeat(e, heartbeat, false)
 		}
 	}
@@ -41,29 +41,30 @@
 type priorState struct {
 	record         Record
 	phase          Phase
-	departure      departure
+	departure      departureState
 	slowStartUntil time.Duration
 	suspected      bool
-	// True if this node owned the backend and it was not gone.
+	// True if this node owned the backend and the backend was not gone.
 	owned bool
 	// True if this node received a heartbeat of the backend within the time-out.
 	recentHeartbeat bool
 }
 
-// priorState returns the state of a backend before an update.
-func (r *Registry) priorState(e *entry) priorState {
-	return priorState{record: e.record, phase: e.phase(), departure: e.departure(), slowStartUntil: e.slowStartUntil, suspected: e.suspected,
+// capturePriorState returns the state of a backend before an update.
+func (r *Registry) capturePriorState(e *entry) priorState {
+	return priorState{record: e.record, phase: e.phase(), departure: e.departureState(), slowStartUntil: e.slowStartUntil, suspected: e.suspected,
 		owned:           e.record.Owner == r.localSlot && e.phase() != Gone,
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
-// handleUpdate merges a record, forwards what changed, and corrects the sender if this node has newer information.
+// handleUpdate merges a received record and forwards the record if it changed anything. If this node has newer information,
+// it sends its own record to the sender (correctSender).
 func (r *Registry) handleUpdate(p *peer, update Record) {
-	e := r.entryFor(update.ID)
+	e := r.findOrCreateEntry(update.ID)
 	if e == nil {
 		return
 	}
-	before := r.priorState(e)
+	before := r.capturePriorState(e)
 	r.merge(e, update)
 	if p.node.Slot == r.syncSource {
 		e.syncedAt = r.now
@@ -72,9 +73,9 @@
 	if update.Phase == Gone && p.node.Slot == e.record.Owner {
 		e.suspected = false
 	}
-	// A sender that reports a departure has it, provided that it has acknowledged a message in its present incarnation.
-	// A late message of a former incarnation does not prove a copy.
-	if d := update.departure(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
+	// The sender of a departure counts as a holder of the departure only if the sender has acknowledged a message in its
+	// present incarnation. A late message of a former incarnation does not prove a copy.
+	if d := update.departureState(); d > notDeparting && (p.confirmed || r.config.TestingKnobs.trustUnconfirmedPeers()) {
 		e.recordNotified(p.node.Slot, d)
 	}
 	if r.reclaimOwnership(e, p, &update, &before) {
@@ -83,37 +84,38 @@
 	r.correctSender(e, p, &update, &before)
 }
 
-// forwardUpdate forwards an update to other nodes if it changed what this node knows of the backend. It also sends a new
-// backend to its known owner.
+// forwardUpdate forwards an update to other nodes if the update changed this node's record of the backend. A node with a
+// disk also sends the record of a backend that it did not know before to the backend's owner.
 func (r *Registry) forwardUpdate(e *entry, from *peer, update *Record, before *priorState) {
-	// If only this node suspected the backend, the owner's time-out changes nothing here, but the other nodes do not know
-	// of the time-out yet.
-	urgent := e.phase() != before.phase || e.departure() > before.departure || before.suspected && update.Phase == Gone
+	// If this node already timed out the backend by a suspicion, the owner's time-out does not change the phase. The update is
+	// urgent nevertheless, because the other nodes do not know of the time-out yet.
+	urgent := e.phase() != before.phase || e.departureState() > before.departure || before.suspected && update.Phase == Gone
 	changed := urgent || e.record.differsFrom(&before.record)
 	switch {
 	case e.record.Owner == r.localSlot && (before.record.Owner != r.localSlot || changed):
-		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be its origin.
-		r.broadcast(e, urgent)
+		// The owner must inform all nodes. Other nodes may have applied the update, or one of them may be the origin of the
+		// update.
+		r.broadcastRecord(e, urgent)
 	case r.local.HasDisk && (changed || e.slowStartUntil != before.slowStartUntil):
-		r.forward(e, from, urgent)
+		r.forwardRecord(e, from, urgent)
 	}
 	isNew := before.record.Service == "" && e.phase() != Gone
 	if owner := r.peers[e.record.Owner]; r.local.HasDisk && isNew && owner != nil && owner != from && owner.node.Live {
-		// The owner may have lost its record of the backend. It resumes watching the backend.
+		// The owner may have lost its record of the backend. With the record, the owner watches the backend again.
 		r.enqueueUpdate(owner, e.record.ID, false)
 	}
 }
 
-// reclaimOwnership takes back a backend that another node took over because that node no longer reached this node. It does
-// so only if this node still receives the backend's heartbeats. If the backend was taken over from a third node, the third
-// node is sent the record instead. The result reports whether this node took the backend back.
+// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. This
+// happens only if this node still receives the backend's heartbeats. If the backend was taken over from a third node that
+// this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
 	}
 	if update.LostOwner == r.localSlot && before.owned && before.recentHeartbeat {
 		r.takeOwnership(e, NoSlot)
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 		return true
 	}
 	if lost := r.peers[update.LostOwner]; update.LostOwner != from.node.Slot && lost != nil && lost.node.Live {
@@ -122,38 +124,39 @@
 	return false
 }
 
-// correctSender sends the record of a backend to the sender of an outdated update. If other nodes may also have applied the
-// update, it sends the record to all nodes.
+// correctSender sends the record of a backend to the sender of an outdated update. If the update is an outdated time-out,
+// which other nodes may also have applied, correctSender broadcasts the record.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
 	known := r.recordOf(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
 		// Other nodes may also have applied the time-out.
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 		return
 	}
 	staleOwner := update.Owner != known.Owner &&
 		(update.FencingToken < known.FencingToken || update.FencingToken == known.FencingToken && update.Owner < known.Owner)
-	// An owner that missed the last heartbeat would measure the time-out from an earlier one.
+	// An owner that missed the last heartbeat would measure the time-out from an earlier heartbeat.
 	missedHeartbeat := update.Seq < known.Seq && known.Phase != Gone && from.node.Slot == known.Owner
-	if (update.Phase != known.Phase || update.departure() != known.departure() || staleOwner || missedHeartbeat) && from.node.Live {
+	if (update.Phase != known.Phase || update.departureState() != known.departureState() || staleOwner || missedHeartbeat) && from.node.Live {
 		r.enqueueUpdate(from, e.record.ID, true)
 	}
 }
 
-// handleSuspicion times out a backend because another backend answered at its address. If the backend still exists, its
-// next heartbeat revives it.
+// handleSuspicion times out a backend because another backend answered at the same address. If the timed-out backend still
+// exists, its next heartbeat revives it. If the backend was already gone, the peer p that sent the suspicion is sent the
+// record.
 func (r *Registry) handleSuspicion(p *peer, suspicion Record) {
-	e := r.entryFor(suspicion.ID)
+	e := r.findOrCreateEntry(suspicion.ID)
 	if e == nil {
 		return
 	}
 	before := e.phase()
 	r.merge(e, suspicion)
 	if e.phase() != Gone {
-		r.expire(e)
+		r.timeOutBackend(e)
 	}
 	if before != Gone {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	} else {
 		r.enqueueUpdate(p, e.record.ID, true)
 	}
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -6,17 +6,18 @@
 	"clovergap/internal/invariant"
 )
 
-// stallThreshold is the clock step above which this process counts as stalled. Without a stall, the host ticks at least
-// every scanInterval.
+// stallThreshold is the step between two calls of Tick above which this process counts as stalled. Without a stall, the
+// host calls Tick at least once in each scanInterval.
 const stallThreshold = time.Second
 
 // Config holds the settings of a registry.
 type Config struct {
 	HeartbeatInterval time.Duration // interval between two heartbeats of a backend
-	// Number of nodes with a disk that must have a departure before it is confirmed. It is the number of tolerated losses
-	// plus 1.
+	// Number of nodes with a disk that must have a departure before the departure is confirmed. It is one more than the
+	// number of nodes that may be lost at once.
 	MinCopies int
-	// A number that differs between two runs of this node, so that acknowledgements to a former run match no message.
+	// A number that differs between two incarnations of this node. Acknowledgements to a former incarnation then match no
+	// message of the present one.
 	Incarnation  uint32
 	TestingKnobs TestingKnobs // empty in a release build
 }
@@ -26,7 +27,7 @@
 	localSlot Slot
 	config    Config
 	now       time.Duration
-	// Earliest time from which time-outs of backends and owners are measured.
+	// Time-outs of backends and owners are measured from this time at the earliest.
 	timeoutFloor time.Duration
 	nextScanAt   time.Duration
 	wakeAt       time.Duration // deadline of the last Wake
@@ -34,17 +35,17 @@
 	entries   map[string]*entry
 	sorted    []*entry // all entries, sorted by id
 	byAddr    map[string][]*entry
-	goneCount int    // entries whose phase is Gone
+	goneCount int    // number of entries whose phase is Gone
 	refused   uint64 // see Status.Refused
 
 	// State of the nodes as of the last SetNodes.
-	hasNodes        bool // SetNodes was called
+	hasNodes        bool // true if SetNodes was called
 	local           Node
 	ownerCandidates []Node // sorted by slot
 	knownCount      int    // number of other nodes, live or not
 	liveCount       int    // number of other live nodes
-	hasLiveDisk     bool   // a node with a disk is live
-	hasKnownDisk    bool   // a node with a disk is known, live or not
+	hasLiveDisk     bool   // true if a node with a disk is live
+	hasKnownDisk    bool   // true if a node with a disk is known, live or not
 
 	peers     map[Slot]*peer
 	peerSlots []Slot // slots of peers, sorted
@@ -53,15 +54,15 @@
 	syncQueue   []syncRequest // followers that wait for a sync
 
 	// State of the full sync that this node receives from its upstream.
-	syncSource    Slot // node that last began a full sync to this node
-	syncStartedAt time.Duration
-	// Time at which the upstream is sent the backends that its full sync left out. The value is the constant never if these
-	// backends were sent, or if no full sync was received.
+	syncSource    Slot          // node that last started a full sync to this node, or NoSlot
+	syncStartedAt time.Duration // time at which that full sync started
+	// Time at which the backends that the full sync left out are sent to the upstream (reportMissingBackends). The value is
+	// the constant never if these backends were already sent, or if no full sync was received.
 	reportMissingAt time.Duration
 
-	lastTicket       Ticket
+	lastTicket       Ticket // ticket of the last call
 	pendingCalls     []pendingCall
-	acknowledgements []Action // answers to be returned by Next
+	acknowledgements []Action // Acknowledge actions that Next has not returned yet
 	// Entries that may differ from their last published state.
 	changedEntries []*entry
 }
@@ -80,8 +81,8 @@
 	r.config = config
 }
 
-// Tick advances the clock to now. A time earlier than the present one is ignored. A step above stallThreshold means that
-// this process was stalled and could read no heartbeats, so that all time-outs restart.
+// Tick advances the clock to now and does the work that has become due. A time earlier than the present one is ignored. A
+// step above stallThreshold means that this process was stalled and could read no heartbeats. All time-outs then restart.
 func (r *Registry) Tick(now time.Duration) {
 	if now < r.now {
 		return
@@ -111,7 +112,7 @@
 // returns an Acknowledge with the ticket that Heartbeat returned.
 func (r *Registry) Heartbeat(record Record) Ticket {
 	r.lastTicket++
-	e := r.entryFor(record.ID)
+	e := r.findOrCreateEntry(record.ID)
 	if e == nil {
 		return r.rejectCall()
 	}
@@ -122,7 +123,7 @@
 		requested = draining
 	}
 	r.handleHeartbeat(e, record, true)
-	r.trackCall(e, requested)
+	r.answerOrStoreCall(e, requested)
 	return r.lastTicket
 }
 
@@ -130,42 +131,43 @@
 // that Deregister returned.
 func (r *Registry) Deregister(id string) Ticket {
 	r.lastTicket++
-	e := r.entryFor(id)
+	e := r.findOrCreateEntry(id)
 	if e == nil {
 		return r.rejectCall()
 	}
-	before := e.departure()
+	before := e.departureState()
 	r.merge(e, Record{ID: id, Phase: Gone, Deregistered: true, Owner: NoSlot, LostOwner: NoSlot})
 	if before != departed {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	}
-	r.trackCall(e, departed)
+	r.answerOrStoreCall(e, departed)
 	return r.lastTicket
 }
 
-// Restore loads the records that this node's disk stored. They may be outdated. Each backend is therefore watched for a
-// time-out from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes, a
-// restore saves the wait for the first heartbeats. If a record is wrong, a request cannot be sent, or another backend
-// answers the request with HTTP 421.
+// Restore loads the records that this node's disk stored. The records may be outdated. The time-out of each backend is
+// therefore measured from now on, and newer records from other nodes replace the restored ones. After the loss of all nodes,
+// a restore saves the wait for the first heartbeats. A request to a backend with an outdated address fails to connect, or
+// another backend answers the request with HTTP 421.
 func (r *Registry) Restore(records []Record) {
 	for _, record := range records {
-		if e := r.entryFor(record.ID); e != nil && record.Phase != Gone {
+		if e := r.findOrCreateEntry(record.ID); e != nil && record.Phase != Gone {
 			record.SlowStartLeft = 0 // The age of the stored record is unknown.
 			r.merge(e, record)
 		}
 	}
 }
 
-// ReportAddressConflict records that another backend answers at the address of this backend (HTTP 421). The backend is
-// timed out at this node, and its owner is sent the suspicion. The next heartbeat of the backend revives it at all nodes.
+// ReportAddressConflict records that another backend answers at the address of the backend with the given id (HTTP 421).
+// The backend is timed out at this node, and the backend's owner is sent the suspicion. The next heartbeat of the backend
+// revives it at all nodes.
 func (r *Registry) ReportAddressConflict(id string) {
 	e := r.entries[id]
 	if e == nil || e.phase() == Gone {
 		return
 	}
-	r.expire(e)
+	r.timeOutBackend(e)
 	if e.record.Owner == r.localSlot {
-		r.broadcast(e, true)
+		r.broadcastRecord(e, true)
 	} else {
 		e.suspected = true
 		r.reportSuspicion(e)
@@ -185,7 +187,7 @@
 		e := r.changedEntries[0]
 		r.changedEntries = r.changedEntries[1:]
 		e.changeQueued = false
-		if a, ok := r.publish(e); ok {
+		if a, ok := r.publishIfChanged(e); ok {
 			return a, true
 		}
 	}
@@ -206,17 +208,17 @@
 	return nil, false
 }
 
-// nextWake returns the next time at which Tick must be called, or never.
+// nextWake returns the latest time by which Tick must be called, or never if nothing is scheduled.
 func (r *Registry) nextWake() time.Duration {
 	at := never
 	if len(r.entries) > r.goneCount {
 		at = r.nextScanAt
 	}
 	for _, c := range r.pendingCalls {
-		at = min(at, c.deadline(r.now))
+		at = min(at, c.nextCheckAt(r.now))
 	}
 	for _, s := range r.activePeers {
-		at = min(at, r.peers[s].nextDeadline())
+		at = min(at, r.peers[s].nextCheckAt())
 	}
 	return at
 }
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -20,27 +20,27 @@
 	now         time.Duration
 	registries  map[Slot]*Registry
 	live        map[Slot]bool
-	partitioned map[[2]Slot]bool // sender and receiver whose messages are lost
-	// Number of nodes with a disk. These have the lowest slots.
+	partitioned map[[2]Slot]bool // pairs of a sender and a receiver between which messages are lost
+	// Number of nodes with a disk. The nodes with the lowest slots have a disk.
 	disks    int
 	messages int                             // number of messages sent
-	acks     map[Slot]map[Ticket]Acknowledge // answers by node and ticket
-	views    map[Slot]map[string]Record      // last reported records by node and backend id
+	acks     map[Slot]map[Ticket]Acknowledge // answers to calls, by node and ticket
+	views    map[Slot]map[string]Record      // record of the last Changed action, by node and backend id
 }
 
-// newFleet starts n nodes, of which the first disks nodes have a disk.
+// newFleet starts n nodes. The parameter disks is the number of nodes with a disk.
 func newFleet(t *testing.T, n, disks int) *fleet {
 	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
 	for s := range Slot(n) {
-		f.start(s)
+		f.startNode(s)
 	}
 	f.updateNodes()
 	return f
 }
 
-// start starts a node with an empty registry.
-func (f *fleet) start(s Slot) {
+// startNode starts a node with an empty registry.
+func (f *fleet) startNode(s Slot) {
 	minCopies := 2
 	// The loss of the only node with a disk is not tolerated.
 	if f.disks == 1 {
@@ -50,8 +50,8 @@
 	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
-// updateNodes sets the nodes of each registry. A node is live for another one that reaches it. A node without a disk
-// follows the first node with a disk that it reaches and that reaches it.
+// updateNodes calls SetNodes on each registry. Each node sees the nodes that it reaches as live. A node without a disk
+// follows the node with the lowest slot among the nodes with a disk that it reaches in both directions.
 func (f *fleet) updateNodes() {
 	reach := func(a, b Slot) bool { return f.live[b] && !f.partitioned[[2]Slot{a, b}] }
 	upstreamOf := func(s Slot) Slot {
@@ -73,7 +73,8 @@
 	f.deliverAll()
 }
 
-// deliverAll delivers messages until there are none. A message to a partitioned or stopped node is lost.
+// deliverAll carries out the actions of all live nodes until there are none. A message to a partitioned or stopped node is
+// lost.
 func (f *fleet) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -118,9 +119,9 @@
 	target Slot
 }
 
-// heartbeat has a backend send a heartbeat to the node at, and returns the answer. The answer is zero if the node has not
-// answered yet.
-func (f *fleet) heartbeat(b *backend, at Slot) Acknowledge {
+// sendHeartbeat has a backend send a heartbeat to the node with the slot at and returns the answer. The answer is zero if the
+// node has not answered yet. The target of the backend's next heartbeat becomes the node that the answer names.
+func (f *fleet) sendHeartbeat(b *backend, at Slot) Acknowledge {
 	b.Seq++
 	ticket := f.registries[at].Heartbeat(b.Record)
 	f.deliverAll()
@@ -136,30 +137,31 @@
 		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
 }
 
-// requirePhase requires that the last report of the backend by each live node has the phase want. For Gone, a node may
-// also have reported nothing.
+// requirePhase requires that the record in the last Changed action for the backend has the phase want at each live node. If
+// want is Gone, a node may also have returned no Changed action for the backend.
 func (f *fleet) requirePhase(id string, want Phase) {
 	f.t.Helper()
 	for s := range f.registries {
 		if record, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
-			must.Eq(f.t, want, record.Phase, must.Sprintf("node %d of %s", s, id))
+			must.Eq(f.t, want, record.Phase, must.Sprintf("phase that node %d reported for backend %s", s, id))
 		}
 	}
 }
 
-// knownRecords returns the records that must be equal at nodes that have received the same updates.
+// knownRecords returns a registry's records by backend id, without the fields that may differ between nodes that have
+// received the same updates.
 func knownRecords(registry *Registry) map[string]Record {
 	records := map[string]Record{}
 	for id, e := range registry.entries {
 		record := registry.recordOf(e)
-		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Heartbeats are not sent to all nodes.
+		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Seq differs because heartbeats are not sent to all nodes.
 		records[id] = record
 	}
 	return records
 }
 
-// permutations calls f with every order of the numbers below n.
-func permutations(n int, f func([]int)) {
+// forEachPermutation calls f with each permutation of the numbers from 0 to n-1.
+func forEachPermutation(n int, f func([]int)) {
 	var permute func(head, rest []int)
 	permute = func(head, rest []int) {
 		if len(rest) == 0 {
@@ -177,7 +179,8 @@
 	permute(nil, all)
 }
 
-// TestUpdatesConvergeInAnyOrder checks that updates lead to the same state in every order, also if one is repeated.
+// TestUpdatesConvergeInAnyOrder guards against states that differ between nodes because updates arrived in different orders.
+// The same updates must lead to the same state in every order, also if one update is repeated.
 func TestUpdatesConvergeInAnyOrder(t *testing.T) {
 	base := newBackend(1).Record
 	update := func(set func(*Record)) Record {
@@ -209,7 +212,7 @@
 	} {
 		var first map[string]Record
 		var firstBackends []Record
-		permutations(len(updates), func(order []int) {
+		forEachPermutation(len(updates), func(order []int) {
 			registry := New(0, Config{HeartbeatInterval: heartbeatInterval}, 0)
 			for _, i := range append(order, order[0]) {
 				registry.Receive(Slot(updates[i].Owner+1), Message{Updates: updates[i : i+1]})
@@ -223,11 +226,12 @@
 	}
 }
 
-// TestCallsConvergeInAnyOrder checks calls of one backend at three nodes, in every order, with and without a partition
-// between the nodes during the calls. All nodes must have the same state afterwards.
+// TestCallsConvergeInAnyOrder guards against states that differ between nodes because calls of one backend reached three
+// nodes in different orders. The calls arrive in every order, with and without a partition between the nodes. All nodes must
+// have the same state afterwards.
 func TestCallsConvergeInAnyOrder(t *testing.T) {
 	for _, partitioned := range []bool{false, true} {
-		permutations(4, func(order []int) {
+		forEachPermutation(4, func(order []int) {
 			f := newFleet(t, 3, 0)
 			if partitioned {
 				for _, p := range [][2]Slot{{0, 1}, {1, 0}, {0, 2}, {2, 0}} {
@@ -262,14 +266,15 @@
 	}
 }
 
-// TestHeartbeatsAreNotForwardedByOwner checks that heartbeats to the owner cause no messages between nodes. It also checks
-// that backends without heartbeats are timed out at all nodes, and that a later heartbeat revives them.
+// TestHeartbeatsAreNotForwardedByOwner guards against traffic between nodes that grows with the number of heartbeats.
+// Heartbeats to the owner must cause no messages between nodes. Backends without heartbeats must be timed out at all nodes,
+// and a later heartbeat must revive the backend that sent it.
 func TestHeartbeatsAreNotForwardedByOwner(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var backends []*backend
 	for i := range 20 {
 		backends = append(backends, newBackend(i))
-		must.True(t, f.heartbeat(backends[i], 0).Confirmed)
+		must.True(t, f.sendHeartbeat(backends[i], 0).Confirmed)
 	}
 	f.advance(200 * ms)
 	for _, b := range backends {
@@ -279,14 +284,14 @@
 	ownedByNode := map[Slot]int{}
 	for _, b := range backends {
 		ownedByNode[b.target]++
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, b.target)
 	}
 	must.MapLen(t, 4, ownedByNode)
 	f.advance(200 * ms)
 	f.messages = 0
 	for range 8 {
 		for _, b := range backends {
-			must.True(t, f.heartbeat(b, b.target).Confirmed)
+			must.True(t, f.sendHeartbeat(b, b.target).Confirmed)
 		}
 		f.advance(heartbeatInterval)
 	}
@@ -296,19 +301,20 @@
 	for _, b := range backends {
 		f.requirePhase(b.ID, Gone)
 	}
-	f.heartbeat(backends[3], 2)
+	f.sendHeartbeat(backends[3], 2)
 	f.advance(100 * ms)
 	f.requirePhase(backends[3].ID, Ready)
 }
 
-// TestDrainIsConfirmedByCopies checks when departures are confirmed while nodes with and without a disk are unreachable.
+// TestDrainIsConfirmedByCopies guards against departures that are confirmed too early, or never, while nodes with and without
+// a disk are unreachable.
 func TestDrainIsConfirmedByCopies(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.advance(time.Second)
 	b.Phase = Draining
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 	f.requirePhase(b.ID, Draining)
 	must.Eq(t, 0, f.registries[0].Status().PendingCalls)
 
@@ -316,9 +322,9 @@
 	dropMessagesTo := func(o Slot) { f.partitioned[[2]Slot{0, o}] = true }
 	dropMessagesTo(3)
 	b = newBackend(2)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	b.Phase = Draining
-	must.False(t, f.heartbeat(b, 0).Confirmed)
+	must.False(t, f.sendHeartbeat(b, 0).Confirmed)
 	ticket := f.registries[0].lastTicket
 	f.advance(400 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
@@ -335,7 +341,7 @@
 	must.MapContainsKey(t, f.acks[0], ticket)
 	must.False(t, f.acks[0][ticket].Confirmed)
 
-	// Node 1 receives messages again. The departure is still in flight, and the next call finds it acknowledged.
+	// Nodes 1 and 3 receive messages again. The message with the departure is resent and acknowledged before the next call.
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{0, 3})
 	f.advance(time.Second)
@@ -344,28 +350,30 @@
 	f.deliverAll()
 	must.True(t, f.acks[0][ticket].Confirmed)
 
-	// A node that reaches no other node confirms no departure. The only known node does.
+	// A node that knows other nodes but reaches none confirms no departure. A node that knows no other node confirms departures
+	// by itself.
 	for o := range Slot(3) {
 		dropMessagesTo(o + 1)
 	}
 	f.updateNodes()
 	b = newBackend(3)
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 	b.Phase = Draining
-	must.False(t, f.heartbeat(b, 0).Confirmed)
+	must.False(t, f.sendHeartbeat(b, 0).Confirmed)
 	f = newFleet(t, 1, 0)
-	must.True(t, f.heartbeat(b, 0).Confirmed)
+	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 }
 
-// TestLossOfOwnerKeepsItsBackends checks that the backends of a lost owner stay ready and get a new owner. A backend that
-// stops with its owner must be timed out, and the restarted owner must receive the whole registry.
+// TestLossOfOwnerKeepsItsBackends guards against backends that are timed out because their owner was lost. The backends of a
+// lost owner must stay ready and get a new owner. A backend that stops together with its owner must be timed out. The
+// restarted owner must receive the complete registry.
 func TestLossOfOwnerKeepsItsBackends(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	var backends []*backend
 	for i := range 30 {
 		backends = append(backends, newBackend(i))
-		f.heartbeat(backends[i], 0)
-		f.heartbeat(backends[i], backends[i].target)
+		f.sendHeartbeat(backends[i], 0)
+		f.sendHeartbeat(backends[i], backends[i].target)
 	}
 	f.advance(time.Second)
 	lostOwner := backends[0].target
@@ -387,14 +395,14 @@
 	next := (lostOwner + 1) % 4
 	for i := range 7 {
 		for _, b := range others {
-			f.heartbeat(b, b.target)
+			f.sendHeartbeat(b, b.target)
 		}
 		for _, b := range orphans {
 			if i == 0 || b.target == lostOwner {
-				// The heartbeat to the lost owner failed, and the backend turns to the next node.
-				f.heartbeat(b, next)
+				// The heartbeat to the lost owner failed, and the backend calls the next node.
+				f.sendHeartbeat(b, next)
 			} else {
-				f.heartbeat(b, b.target)
+				f.sendHeartbeat(b, b.target)
 			}
 		}
 		if i == 1 {
@@ -407,27 +415,27 @@
 		}
 		f.advance(heartbeatInterval)
 	}
-	f.requirePhase(stopped[0].ID, Gone) // It stopped together with its owner.
+	f.requirePhase(stopped[0].ID, Gone) // This backend stopped together with its owner.
 	for _, b := range orphans {
 		must.NotEq(t, lostOwner, b.target)
 		must.Eq(t, b.target, f.registries[next].entries[b.ID].record.Owner)
 	}
-	// The owner restarts with an empty registry. It is sent all records, including departures.
-	f.start(lostOwner)
+	// The owner restarts with an empty registry. The other nodes must send the owner all records, including departures.
+	f.startNode(lostOwner)
 	f.updateNodes()
 	f.advance(time.Second)
 	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[lostOwner]))
 	must.Eq(t, 29, len(f.registries[lostOwner].Backends()))
 }
 
-// TestIsolatedNodeExpiresOnlyDirectBackends guards against an isolated node that times out backends which now send their
-// heartbeats to other nodes.
+// TestIsolatedNodeExpiresOnlyDirectBackends guards against an isolated node that times out backends whose heartbeats now
+// reach only other nodes.
 func TestIsolatedNodeExpiresOnlyDirectBackends(t *testing.T) {
 	f := newFleet(t, 5, 0)
 	var backends []*backend
 	for i := range 20 {
 		backends = append(backends, newBackend(i))
-		f.heartbeat(backends[i], 1)
+		f.sendHeartbeat(backends[i], 1)
 	}
 	f.advance(100 * ms)
 	for o := range Slot(4) {
@@ -438,10 +446,10 @@
 		for _, b := range backends {
 			at := b.target
 			if at == 0 {
-				// The zone of the backend no longer reaches node 0.
+				// The backend does not reach node 0 either, and calls another node.
 				at = 2
 			}
-			f.heartbeat(b, at)
+			f.sendHeartbeat(b, at)
 		}
 		f.advance(heartbeatInterval)
 	}
@@ -459,8 +467,8 @@
 func TestStallRestartsTimeouts(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
-	f.heartbeat(b, b.target)
+	f.sendHeartbeat(b, 0)
+	f.sendHeartbeat(b, b.target)
 	registry := f.registries[b.target]
 	registry.Tick(f.now + 20*time.Second)
 	f.deliverAll()
@@ -479,23 +487,23 @@
 	f.requirePhase(b.ID, Gone)
 }
 
-// TestReusedAddressShowsYoungestBackend checks that requests see only the backend that was first seen most recently at an
-// address.
+// TestReusedAddressShowsYoungestBackend guards against requests to a former backend whose address another backend has taken
+// over. Requests must see only the backend that was first seen most recently at the address.
 func TestReusedAddressShowsYoungestBackend(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	old := newBackend(1)
-	f.heartbeat(old, 0)
+	f.sendHeartbeat(old, 0)
 	f.advance(2 * time.Second)
 	young := newBackend(2)
 	young.Addr, young.Service = old.Addr, "other"
-	f.heartbeat(young, 1)
+	f.sendHeartbeat(young, 1)
 	f.advance(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	must.SliceLen(t, 1, f.registries[2].Backends())
-	// A late call of the old backend has no lasting effect. The departure of the young backend does not revive the old one.
+	// A late call of the old backend must have no lasting effect. The departure of the young backend must not revive the old backend.
 	old.Seq += 5
-	f.heartbeat(old, 2)
+	f.sendHeartbeat(old, 2)
 	f.advance(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
@@ -505,16 +513,16 @@
 	f.requirePhase(old.ID, Gone)
 }
 
-// TestTombstonesExpireAndAreBounded checks that no state of a gone backend remains after tombstoneTTL, and that the number
-// of tombstones is limited.
+// TestTombstonesExpireAndAreBounded guards against a registry that grows without bound. No state of a gone backend may remain
+// after tombstoneTTL, and there may be at most maxTombstones tombstones.
 func TestTombstonesExpireAndAreBounded(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	b := newBackend(1)
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.registries[1].Deregister(b.ID)
 	f.deliverAll()
 	b.Seq = 7
-	f.heartbeat(b, 0)
+	f.sendHeartbeat(b, 0)
 	f.requirePhase(b.ID, Gone)
 	f.advance(tombstoneTTL + time.Second)
 	must.Eq(t, Status{}, f.registries[0].Status())
@@ -527,8 +535,8 @@
 	must.Eq(t, maxTombstones, len(f.registries[0].entries))
 }
 
-// TestNodesConvergeAfterFaults applies random faults to fleets of random size. After the faults end, all nodes must report
-// the right phases and send no more messages.
+// TestNodesConvergeAfterFaults guards against nodes that disagree forever after faults. The test applies random faults to
+// fleets of random size. After the faults end, all nodes must report the right phases and send no more messages.
 func TestNodesConvergeAfterFaults(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
@@ -540,7 +548,7 @@
 		sendHeartbeats := func() {
 			for _, b := range backends {
 				for tries := 0; tries < n && !crashed[b.ID]; tries++ {
-					if f.live[b.target] && f.heartbeat(b, b.target).Confirmed {
+					if f.live[b.target] && f.sendHeartbeat(b, b.target).Confirmed {
 						break
 					}
 					b.target = Slot(rng.Intn(n))
@@ -548,7 +556,7 @@
 			}
 		}
 		restart := func(node Slot) {
-			f.start(node)
+			f.startNode(node)
 			for o, registry := range f.registries {
 				if o != node && f.live[o] {
 					registry.SyncPeer(node) // The node may have restarted before the others noticed its loss.
@@ -603,20 +611,20 @@
 			}
 			f.requirePhase(b.ID, want)
 		}
-		must.Eq(t, 0, f.messages, must.Sprint("messages sent without changes, seed ", seed))
+		must.Eq(t, 0, f.messages, must.Sprint("messages were sent although nothing changed; seed: ", seed))
 	}
 }
 
-// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes. These delayed requests on slow
-// links and broke the rule DRAIN of the fault tests: no request may reach a backend later than a bounded time after its
-// drain was acknowledged. The traffic on a link must not grow with the number of nodes. In a release of many backends, a
-// node without a disk must receive one update for each change, from its upstream. A node that restarts during the release
-// must receive the registry once.
+// TestMessagesGrowLinearlyWithNodes guards against messages from all nodes to all nodes. Such messages delayed requests on
+// slow links and broke the rule DRAIN of the fault tests: no request may reach a backend later than a bounded time after the
+// backend's drain call was acknowledged. The traffic on a link must not grow with the number of nodes. When many backends
+// drain in a release, a node without a disk must receive one update for each change, from its upstream. A node that restarts
+// during the release must receive the registry once.
 func TestMessagesGrowLinearlyWithNodes(t *testing.T) {
 	for _, n := range []int{12, 48, 96} {
 		f := newFleet(t, n, 3)
 		for i := range 60 {
-			f.heartbeat(newBackend(i), Slot(i%n))
+			f.sendHeartbeat(newBackend(i), Slot(i%n))
 		}
 		f.advance(time.Second)
 		for s := range Slot(n) {
@@ -626,13 +634,13 @@
 		for i := range 60 {
 			b := newBackend(i)
 			b.Seq, b.Phase = 9, Draining
-			must.True(t, f.heartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a departure that the nodes with a disk have is not confirmed at once"))
+			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("the drain call is not confirmed at once, although all nodes are reachable"))
 		}
 		// Each node receives an update and acknowledges it.
-		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes"))
+		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes send too many messages for 60 departures"))
 		f.advance(time.Second)
 		f.messages = 0
-		f.start(Slot(n - 1))
+		f.startNode(Slot(n - 1))
 		for s := range Slot(n - 1) {
 			f.registries[s].SyncPeer(Slot(n - 1))
 		}
@@ -643,22 +651,22 @@
 	}
 }
 
-// TestRestoredBackendsAreWatchedForTimeouts checks a restart of all nodes in which one node restores its registry from
-// disk, so that the others need not wait for heartbeats. Restored records that are wrong must not last. A backend that
-// sends no heartbeats must be gone after three intervals. A backend that deregistered meanwhile must stay gone at a node
-// that knows of it.
+// TestRestoredBackendsAreWatchedForTimeouts guards against restored records that stay although they are wrong. After a
+// restart of all nodes, one node restores its registry from disk, and all nodes must know the restored backends without
+// heartbeats. A restored backend that sends no heartbeats must be gone after three heartbeat intervals. A backend that
+// deregistered before the restore must stay gone at a node that knows of the deregistration.
 func TestRestoredBackendsAreWatchedForTimeouts(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	alive, stopped := newBackend(1), newBackend(2)
 	for _, b := range []*backend{alive, stopped} {
-		f.heartbeat(b, 0)
-		f.heartbeat(b, b.target)
+		f.sendHeartbeat(b, 0)
+		f.sendHeartbeat(b, b.target)
 	}
 	f.advance(time.Second)
 	stored := f.registries[0].Backends()
 	must.Len(t, 2, stored)
 	for s := range Slot(3) {
-		f.start(s)
+		f.startNode(s)
 	}
 	f.registries[0].Restore(stored)
 	f.updateNodes()
@@ -666,33 +674,33 @@
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Ready)
 	for range 6 {
-		f.heartbeat(alive, alive.target)
+		f.sendHeartbeat(alive, alive.target)
 		f.advance(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Gone)
 
-	f.start(0)
+	f.startNode(0)
 	f.registries[0].Deregister(alive.ID)
 	f.registries[0].Restore(stored)
 	f.deliverAll()
 	must.Eq(t, Gone, f.registries[0].visiblePhase(f.registries[0].entries[alive.ID]))
 }
 
-// TestFollowersReportMissingBackends checks a restart of the only node with a disk with an empty registry. Its followers
-// must send it the backends that its full sync left out. A running backend must get an owner without waiting for its
-// heartbeat. A backend that stopped meanwhile must be gone at all nodes after three intervals, although no heartbeat names
-// it again.
+// TestFollowersReportMissingBackends guards against backends that are lost when the only node with a disk restarts with an
+// empty registry. The followers must send this node the backends that its full sync left out. A backend that still runs must
+// get an owner without waiting for its heartbeat. A backend that has stopped must be gone at all nodes after three heartbeat
+// intervals, although no heartbeat makes it known again.
 func TestFollowersReportMissingBackends(t *testing.T) {
 	f := newFleet(t, 4, 1)
 	alive, stopped := newBackend(1), newBackend(2)
 	for _, b := range []*backend{alive, stopped} {
-		f.heartbeat(b, 3)
+		f.sendHeartbeat(b, 3)
 		must.Eq(t, Slot(0), b.target) // Nodes with a disk own backends.
-		f.heartbeat(b, 0)
+		f.sendHeartbeat(b, 0)
 	}
 	f.advance(time.Second)
-	f.start(0)
+	f.startNode(0)
 	for s := range Slot(3) {
 		f.registries[s+1].SyncPeer(0)
 	}
@@ -702,7 +710,7 @@
 	must.Len(t, 2, f.registries[0].Backends())
 	must.Len(t, 2, f.registries[2].Backends())
 	for range 6 {
-		f.heartbeat(alive, 0)
+		f.sendHeartbeat(alive, 0)
 		f.advance(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
@@ -720,7 +728,7 @@
 			registry.config.TestingKnobs = knobs
 		}
 		b := &backend{Record: Record{ID: "b", Service: "s", Addr: "10.0.0.1:80"}}
-		f.heartbeat(b, 0)
+		f.sendHeartbeat(b, 0)
 		late := b.Record
 		late.Phase, late.Draining, late.Seq, late.Owner, late.LostOwner = Draining, true, b.Seq+1, NoSlot, NoSlot
 		// The link to the new incarnation is up. A message of the former incarnation has not been read yet.
