--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -42,7 +42,7 @@
 			route.MaxAttempts = maxAttempts
 			h := newHarness(route, 6)
 			ran, maxRan := map[control.BackendID]bool{}, maxAttempts
-			h.arrive(1)
+			h.sendRequest(1)
 			for step, remaining := 0, sequence; step < depth && h.txns[1] != nil; step, remaining = step+1, remaining/int(stepCount) {
 				currentStep := requestStep(remaining % int(stepCount))
 				if currentStep == stepMaxAttemptsLowered && maxRan == maxAttempts {
@@ -79,7 +79,7 @@
 	case stepUnresponsive:
 		if inFlight {
 			ran[backend] = true
-			h.advance(h.now + 700*time.Millisecond)
+			h.advanceTo(h.now + 700*time.Millisecond)
 			if decision := h.lastDecision(); decision.Action == control.Cancel {
 				h.endLastSubmission(control.Canceled, false)
 			}
@@ -103,11 +103,11 @@
 // and debug builds stopped at it.
 func TestQueuedRetryIsDroppedWhenMaxAttemptsIsLowered(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
-	h.arrive(1)
+	h.sendRequest(1)
 	first := h.lastDecision().Backend
 	other := control.BackendID(3 - first)
 	for id := control.TxnID(2); h.services[0].balancer.InFlightCount() < 2; id++ {
-		h.arrive(id)
+		h.sendRequest(id)
 	}
 	for id := control.TxnID(2); id < 20; id++ { // the other backend rejects all requests and gets none for a while
 		if request := h.txns[id]; request != nil && request.inFlight && request.lastBackend == other {
@@ -118,7 +118,7 @@
 	h.takeDecisions()
 	must.True(t, h.txns[1].queued)
 	h.LowerMaxAttempts(1, 1)
-	h.advance(h.now + 100*time.Millisecond)
+	h.advanceTo(h.now + 100*time.Millisecond)
 	must.Nil(t, h.txns[1])
 	for _, decision := range h.decided {
 		must.False(t, decision.Action == control.Submit && decision.Txn == 1 && decision.Backend == other)
--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -48,10 +48,10 @@
 }
 
 // deposit adds tokens.
-func (r *retryBudget) deposit(tokens float64) { r.tokens[r.slice%windowSlices] += tokens }
+func (r *retryBudget) depositTokens(tokens float64) { r.tokens[r.slice%windowSlices] += tokens }
 
 // available returns the number of tokens.
-func (r *retryBudget) available() (sum float64) {
+func (r *retryBudget) availableTokens() (sum float64) {
 	for _, n := range r.tokens {
 		sum += n
 	}
@@ -59,8 +59,8 @@
 }
 
 // withdraw takes one token, the oldest first. It returns false if there is less than one token.
-func (r *retryBudget) withdraw() bool {
-	if r.available() < 1 {
+func (r *retryBudget) withdrawToken() bool {
+	if r.availableTokens() < 1 {
 		return false
 	}
 	need := 1.0
--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -57,7 +57,7 @@
 // CanaryShared, the version is chosen again for each request in the canary's queue. A request that may not use the canary then moves to the
 // baseline version. Submissions in flight at the canary continue there until they end.
 func (c *Controller) SetRollout(baseline, canary control.ServiceID, access CanaryAccess) {
-	baselineService, canaryService := c.service(baseline), c.service(canary)
+	baselineService, canaryService := c.getOrCreateService(baseline), c.getOrCreateService(canary)
 	if canaryService.baseline == nil {
 		canaryService.baseline, baselineService.canary, canaryService.budget = baselineService, canaryService, baselineService.budget
 	}
@@ -104,11 +104,11 @@
 	if target == baseline && t.submissions == 0 && t.assignment.Side == rollout.Canary {
 		t.assignment = Assignment{} // no backend of the canary is ready, which says nothing about its quality
 	}
-	c.moveTo(t, target)
+	c.moveToVersion(t, target)
 }
 
 // moveTo changes the version at which a request is counted.
-func (c *Controller) moveTo(t *txn, to *service) {
+func (c *Controller) moveToVersion(t *txn, to *service) {
 	if t.service != to {
 		t.service.txnCount--
 		to.txnCount++
@@ -126,7 +126,7 @@
 	}
 	t.service.queue = slices.DeleteFunc(t.service.queue, func(other *txn) bool { return other == t })
 	t.queued, t.assignment = false, Assignment{}
-	c.moveTo(t, baseline)
+	c.moveToVersion(t, baseline)
 	c.enqueue(t)
 	return true
 }
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (h *harness) sentToCanary(what string) bool {
+func (h *harness) lastSubmissionIsAtCanary(what string) bool {
 	h.t.Helper()
 	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(what))
 	return h.lastDecision().Backend >= firstCanaryBackend
@@ -47,15 +47,15 @@
 func TestCanaryRequestsMayRetryAtBaselineButNotTheReverse(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 3)
 	h.t = t
-	h.arrive(1)
-	must.True(t, h.sentToCanary("first submission of a canary request"))
+	h.sendRequest(1)
+	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("retry of a canary request"))
+	must.False(t, h.lastSubmissionIsAtCanary("retry of a canary request"))
 	h.endLastSubmission(control.Succeeded, true)
-	h.arrive(2)
-	must.False(t, h.sentToCanary("first submission of a baseline request"))
+	h.sendRequest(2)
+	must.False(t, h.lastSubmissionIsAtCanary("first submission of a baseline request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("retry of a baseline request"))
+	must.False(t, h.lastSubmissionIsAtCanary("retry of a baseline request"))
 	h.endLastSubmission(control.Succeeded, true)
 	must.SliceLen(t, 2, assigner.samples)
 	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend, Ending: control.Errored,
@@ -63,20 +63,20 @@
 	must.Eq(t, rollout.Baseline, assigner.samples[1].Side)
 
 	h.setBackends(control.Gone, 1, 3)
-	h.arrive(3)
-	must.True(t, h.sentToCanary("first submission of a canary request without baseline backends"))
+	h.sendRequest(3)
+	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request without baseline backends"))
 	h.endLastSubmission(control.Errored, false)
-	must.True(t, h.sentToCanary("retry of a canary request without baseline backends"))
+	must.True(t, h.lastSubmissionIsAtCanary("retry of a canary request without baseline backends"))
 	h.endLastSubmission(control.Succeeded, true)
-	h.arrive(4)
-	h.advance(h.now + time.Second)
+	h.sendRequest(4)
+	h.advanceTo(h.now + time.Second)
 	must.Eq(t, control.Reject, h.lastDecision().Action) // a baseline request is rejected if the baseline version has no backend
 
 	h.setBackends(control.Ready, 1, 1)
 	h.setCanaryBackends(control.Gone, 3)
 	samplesBefore := len(assigner.samples)
-	h.arrive(5)
-	must.False(t, h.sentToCanary("first submission of a canary request without canary backends"))
+	h.sendRequest(5)
+	must.False(t, h.lastSubmissionIsAtCanary("first submission of a canary request without canary backends"))
 	h.endLastSubmission(control.Errored, false)
 	must.SliceLen(t, samplesBefore, assigner.samples) // nothing is reported, since the canary had no backend
 	must.Eq(t, control.Fail, h.lastDecision().Action)
@@ -89,29 +89,29 @@
 	defer func() { must.SliceLen(t, 1, assigner.samples) }() // the submission that ended at the canary
 	h.t = t
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id += 2
 	}
 	must.Greater(t, 1, id)
 	h.SetRollout(1, 2, CanaryClosed)
 	h.takeDecisions()
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request from the canary's queue after a rollback"))
+	must.False(t, h.lastSubmissionIsAtCanary("request from the canary's queue after a rollback"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.SubmissionEnded(1, 0, firstCanaryBackend, control.Rejected, false, 50*time.Millisecond, nil) // the request has not run
 	h.takeDecisions()
 	must.Eq(t, 1, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request that the canary rejected after a rollback"))
-	h.arrive(101)
-	must.False(t, h.sentToCanary("new request after a rollback"))
+	must.False(t, h.lastSubmissionIsAtCanary("request that the canary rejected after a rollback"))
+	h.sendRequest(101)
+	must.False(t, h.lastSubmissionIsAtCanary("new request after a rollback"))
 	h.setBackends(control.Gone, 1, 5)
-	h.arrive(103)
-	h.advance(h.now + time.Second)
+	h.sendRequest(103)
+	h.advanceTo(h.now + time.Second)
 	must.Eq(t, control.Reject, h.lastDecision().Action) // the closed canary is not used, even if the baseline version has no backend
 	h.SetRollout(1, 2, CanaryFallback)
 	h.setCanaryBackends(control.Ready, 2)
-	h.arrive(105)
-	must.True(t, h.sentToCanary("new request with the canary as fallback"))
+	h.sendRequest(105)
+	must.True(t, h.lastSubmissionIsAtCanary("new request with the canary as fallback"))
 }
 
 // Checks that a request which waits in vain for a canary without capacity goes to the baseline version instead of being rejected.
@@ -119,12 +119,12 @@
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 1)
 	h.t = t
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id += 2
 	}
-	h.advance(h.now + 100*time.Millisecond)
+	h.advanceTo(h.now + 100*time.Millisecond)
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request that waited for the canary"))
+	must.False(t, h.lastSubmissionIsAtCanary("request that waited for the canary"))
 	h.endLastSubmission(control.Errored, false)
 	must.SliceEmpty(t, assigner.samples) // the request did not end at the version that it was assigned to
 }
@@ -150,7 +150,7 @@
 				h.setCanaryBackends(control.BackendState(rng.Intn(2)), 3)
 			case 3, 4:
 				id++
-				h.arrive(id)
+				h.sendRequest(id)
 			default:
 				for txnID, decision := range inFlight {
 					delete(inFlight, txnID)
@@ -159,7 +159,7 @@
 					break
 				}
 			}
-			h.advance(h.now + 10*time.Millisecond)
+			h.advanceTo(h.now + 10*time.Millisecond)
 			for _, decision := range h.decided {
 				if decision.Action != control.Submit {
 					continue
@@ -174,6 +174,6 @@
 		}
 		must.Positive(t, sent[true])
 		must.Positive(t, sent[false])
-		must.True(t, h.service(1).budget == h.service(2).budget)
+		must.True(t, h.getOrCreateService(1).budget == h.getOrCreateService(2).budget)
 	}
 }
--- a/internal/gateway/admission/client_left_test.go
+++ b/internal/gateway/admission/client_left_test.go
@@ -10,7 +10,7 @@
 )
 
 // cancellations returns the number of canceled submissions.
-func (h *harness) cancellations() (n int) {
+func (h *harness) cancellationCount() (n int) {
 	for _, decision := range h.decided {
 		if decision.Action == control.Cancel {
 			n++
@@ -22,17 +22,17 @@
 // Guards against backends that work on requests whose clients have left (incident mvk-anadolu 7). When the client of an idempotent request leaves,
 // the request is canceled. The test covers clients that leave before the request is sent, during its first or second submission, and after its
 // backend was found unresponsive. An effectful request that is in flight is not canceled. Nothing is sent for a client that has left.
-func TestClientLeft(t *testing.T) {
-	t.Run("while the first submission is in flight", clientLeavesWhileInFlight)
-	t.Run("during or after a retry", clientLeavesAfterRetry)
-	t.Run("while the request is queued", clientLeavesWhileQueued)
+func TestRequestIsCanceledWhenClientLeaves(t *testing.T) {
+	t.Run("while the first submission is in flight", testClientLeavesWhileInFlight)
+	t.Run("during or after a retry", testClientLeavesAfterRetry)
+	t.Run("while the request is queued", testClientLeavesWhileQueued)
 }
 
-func clientLeavesWhileInFlight(t *testing.T) {
+func testClientLeavesWhileInFlight(t *testing.T) {
 	for _, route := range []Route{idempotentRoute, effectfulRoute} {
 		for _, ending := range []control.Ending{control.Canceled, control.Succeeded, control.NotSent, control.Rejected, control.TimedOut} {
 			h := newHarness(route, 2)
-			h.arrive(1)
+			h.sendRequest(1)
 			h.ClientLeft(1)
 			h.takeDecisions()
 			if route.Effectful {
@@ -44,7 +44,7 @@
 			}
 			decisionsBefore := len(h.decided)
 			h.ClientLeft(1) // a second call has no effect
-			h.advance(h.now + 12*time.Second)
+			h.advanceTo(h.now + 12*time.Second)
 			must.Len(t, decisionsBefore, h.decided)
 			must.MapEmpty(t, h.txns)
 			must.Zero(t, h.services[0].txnCount)
@@ -53,9 +53,9 @@
 }
 
 // A request is canceled once, also during its second submission, and not again if the submission was canceled before.
-func clientLeavesAfterRetry(t *testing.T) {
+func testClientLeavesAfterRetry(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
-	h.arrive(1)
+	h.sendRequest(1)
 	h.endLastSubmission(control.Rejected, false)
 	must.Eq(t, control.Submit, h.lastDecision().Action)
 	h.ClientLeft(1)
@@ -63,29 +63,29 @@
 	must.Eq(t, control.Decision{Action: control.Cancel, Txn: 1, Attempt: 1}, h.lastDecision())
 	h.ClientLeft(1)
 	h.takeDecisions()
-	must.Eq(t, 1, h.cancellations())
+	must.Eq(t, 1, h.cancellationCount())
 
 	h = newHarness(idempotentRoute, 2)
-	h.arrive(1)
-	h.arrive(2)
-	for h.cancellations() == 0 && h.now < 40*time.Second { // both backends are unresponsive
-		h.advance(h.now + 100*time.Millisecond)
+	h.sendRequest(1)
+	h.sendRequest(2)
+	for h.cancellationCount() == 0 && h.now < 40*time.Second { // both backends are unresponsive
+		h.advanceTo(h.now + 100*time.Millisecond)
 	}
-	if n := h.cancellations(); n > 0 {
+	if n := h.cancellationCount(); n > 0 {
 		leftTxn := h.lastDecision().Txn
 		h.ClientLeft(leftTxn)
 		h.takeDecisions()
-		must.Eq(t, n, h.cancellations())
+		must.Eq(t, n, h.cancellationCount())
 	}
 }
 
 // A request that waits for a backend or for units is not sent once its client has left.
-func clientLeavesWhileQueued(t *testing.T) {
+func testClientLeavesWhileQueued(t *testing.T) {
 	h := newHarness(idempotentRoute, 0)
-	h.arrive(1)
+	h.sendRequest(1)
 	h.ClientLeft(1)
 	h.setBackends(control.Ready, 1, 2)
-	h.advance(h.now + 5*time.Second)
+	h.advanceTo(h.now + 5*time.Second)
 	for _, decision := range h.decided {
 		must.NotEq(t, control.Submit, decision.Action)
 	}
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -203,7 +203,7 @@
 			s.concurrency.advance(c.now)
 		}
 		c.services = slices.DeleteFunc(c.services, func(s *service) bool {
-			return s.txnCount == 0 && s.balancer.IsEmpty() && s.baseline == nil && s.canary == nil && !c.hasRoute(s)
+			return s.txnCount == 0 && s.balancer.IsEmpty() && s.baseline == nil && s.canary == nil && !c.isRouteTarget(s)
 		})
 	}
 	if c.now-c.loggedAt >= logInterval && c.counts != (counts{}) {
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -11,7 +11,7 @@
 )
 
 // unlimited returns a quota without limits.
-func unlimited() *quota.Limiter {
+func newUnlimitedLimiter() *quota.Limiter {
 	return quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 }
@@ -29,11 +29,11 @@
 // newSeededHarness returns a harness with a route 1 to service 1 and ready backends with the IDs from 1 on.
 func newSeededHarness(seed int64, route Route, backends int) *harness {
 	h := &harness{Controller: New(seed, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2},
-		unlimited(), 0)}
+		newUnlimitedLimiter(), 0)}
 	route.Targets = []Target{{1, 1}}
 	h.SetRoute(1, route)
 	h.setBackends(control.Ready, 1, backends)
-	h.advance(30 * time.Second) // the retry budget is filled
+	h.advanceTo(30 * time.Second) // the retry budget is filled
 	return h
 }
 
@@ -44,7 +44,7 @@
 }
 
 // advance advances the time in steps of 10 ms, as a host does that wakes the controller.
-func (h *harness) advance(until time.Duration) {
+func (h *harness) advanceTo(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
 		h.takeDecisions()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (h *harness) arrive(id control.TxnID) {
+func (h *harness) sendRequest(id control.TxnID) {
 	h.TxnArrived(control.Txn{ID: id, Product: 1, Units: 1, Expiry: h.now + 10*time.Second})
 	h.takeDecisions()
 }
@@ -95,7 +95,7 @@
 		route := map[bool]Route{false: idempotentRoute, true: effectfulRoute}[key.effectful]
 		for route.MaxAttempts = 1; route.MaxAttempts <= 2; route.MaxAttempts++ {
 			h := newHarness(route, 3)
-			h.arrive(1)
+			h.sendRequest(1)
 			must.Eq(t, control.Submit, h.lastDecision().Action)
 			first := h.lastDecision().Backend
 			h.endLastSubmission(key.ending, key.answerStarted || key.ending == control.Succeeded)
@@ -130,15 +130,15 @@
 		for i := range budgets {
 			budgets[i].advance(now, refillShare*64/nodes)
 			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts, and few requests between them
-				budgets[i].deposit(depositShare * 0.2)
+				budgets[i].depositTokens(depositShare * 0.2)
 				firstSubmissions[s]++
 			}
-			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdraw(); { // withdrawn at once after some time without retries
+			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdrawToken(); { // withdrawn at once after some time without retries
 				retries[s]++
 			}
 			if now == 66*time.Second {
 				budgets[i] = retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
-				must.False(t, budgets[i].withdraw())
+				must.False(t, budgets[i].withdrawToken())
 			}
 		}
 	}
@@ -180,12 +180,12 @@
 			}
 		}
 		for id := control.TxnID(1); id <= 2000; id++ {
-			h.arrive(id)
+			h.sendRequest(id)
 			rejectSubmissions()
-			h.advance(h.now + 2*time.Millisecond)
+			h.advanceTo(h.now + 2*time.Millisecond)
 			rejectSubmissions()
 		}
-		h.advance(h.now + time.Second)
+		h.advanceTo(h.now + time.Second)
 		must.LessEq(t, 0.1*float64(len(sentTxns))+2*refillShare*64/2, float64(retries))
 		must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 		sentInAllRuns += len(sentTxns)
@@ -197,11 +197,11 @@
 func TestRequestFailsAtDeadlineAndIsCanceled(t *testing.T) {
 	h := newHarness(effectfulRoute, 1)
 	start := h.now
-	h.arrive(1)
+	h.sendRequest(1)
 	must.Eq(t, 1500*time.Millisecond-deadlineMargin, h.lastDecision().After)
-	h.advance(start + 1490*time.Millisecond)
+	h.advanceTo(start + 1490*time.Millisecond)
 	must.Len(t, 1, h.decided)
-	h.advance(start + 1500*time.Millisecond)
+	h.advanceTo(start + 1500*time.Millisecond)
 	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, h.decidedActions())
 	must.Eq(t, control.ReasonNoTime, h.decided[1].Reason)
 	must.MapLen(t, 1, h.txns) // the submission's end has not been reported yet
@@ -237,11 +237,11 @@
 	lowPriorityRoute.Priority, lowPriorityRoute.Targets = 5, []Target{{1, 1}}
 	h.SetRoute(2, lowPriorityRoute)
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id++
 	}
 	h.TxnArrived(control.Txn{ID: 100, Product: 2, Expiry: h.now + time.Minute})
-	h.arrive(101)
+	h.sendRequest(101)
 	h.decided = h.decided[:1]
 	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more
 	h.takeDecisions()
@@ -249,11 +249,11 @@
 		must.Eq(t, want, h.decided[i].Txn)
 	}
 	h.setBackends(control.Draining, 1, 1)
-	h.arrive(200)
+	h.sendRequest(200)
 	start := h.now
-	h.advance(start + 60*time.Millisecond)
+	h.advanceTo(start + 60*time.Millisecond)
 	must.Eq(t, 100, h.lastDecision().Txn)
-	h.advance(start + 100*time.Millisecond)
+	h.advanceTo(start + 100*time.Millisecond)
 	must.Eq(t, control.Reject, h.lastDecision().Action)
 	must.Eq(t, 200, h.lastDecision().Txn)
 	must.Greater(t, 0, h.lastDecision().After)
@@ -265,7 +265,7 @@
 func TestRequestBeyondQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	h := newHarness(idempotentRoute, 3)
 	h.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
-	h.advance(h.now + 5*time.Second)
+	h.advanceTo(h.now + 5*time.Second)
 	for id := control.TxnID(1); id <= 3; id++ {
 		h.TxnArrived(control.Txn{ID: id, Product: 1, Customer: 7, Units: 1, Expiry: h.now + time.Minute})
 		h.takeDecisions()
@@ -279,9 +279,9 @@
 func TestIdempotentRequestIsCanceledAtDeadBackend(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	for id := control.TxnID(1); id <= 60; id++ { // backend 1 does not respond
-		h.arrive(id)
+		h.sendRequest(id)
 		if h.lastDecision().Action == control.Submit && h.lastDecision().Txn == id && h.lastDecision().Backend == 2 {
-			h.advance(h.now + 20*time.Millisecond)
+			h.advanceTo(h.now + 20*time.Millisecond)
 			h.SubmissionEnded(id, 0, 2, control.Succeeded, true, 20*time.Millisecond, nil)
 		}
 	}
@@ -299,16 +299,16 @@
 // Request IDs are reused. Checks that a timer of an earlier request does nothing to a later request with the same ID.
 func TestTimerOfEarlierRequestWithSameIDHasNoEffect(t *testing.T) {
 	h := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
-	h.arrive(7) // it expires in 10 s
+	h.sendRequest(7) // it expires in 10 s
 	h.takeDecisions()
 	h.SubmissionEnded(7, 0, 1, control.Succeeded, true, time.Millisecond, nil)
-	h.advance(h.now + 9*time.Second)
-	h.arrive(7)
+	h.advanceTo(h.now + 9*time.Second)
+	h.sendRequest(7)
 	h.takeDecisions()
 	h.decided = nil
-	h.advance(h.now + 5*time.Second)
+	h.advanceTo(h.now + 5*time.Second)
 	must.SliceEmpty(t, h.decided)
-	h.advance(h.now + 6*time.Second)
+	h.advanceTo(h.now + 6*time.Second)
 	must.Eq(t, control.Fail, h.decided[0].Action)
 }
 
@@ -322,7 +322,7 @@
 			weightSum += w
 		}
 		for n := range nodes {
-			controller := New(int64(n), Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, Nodes: nodes}, unlimited(), 0)
+			controller := New(int64(n), Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, Nodes: nodes}, newUnlimitedLimiter(), 0)
 			route := Route{Deadline: time.Second}
 			for i, w := range weights {
 				id := control.ServiceID(i + 1)
@@ -341,7 +341,7 @@
 			must.Between(t, float64(w)/float64(weightSum)-0.02, share, float64(w)/float64(weightSum)+0.02, must.Sprint(weights, requests))
 		}
 	}
-	controller := New(1, Config{Nodes: 1}, unlimited(), 0)
+	controller := New(1, Config{Nodes: 1}, newUnlimitedLimiter(), 0)
 	controller.SetRoute(1, Route{Targets: []Target{{1, 50}, {2, 50}}})
 	controller.EndpointsChanged(false, []control.Endpoint{{ID: 2, State: control.Ready, Capacity: 4, Service: 2}})
 	for range 20 {
--- a/internal/gateway/admission/route.go
+++ b/internal/gateway/admission/route.go
@@ -39,7 +39,7 @@
 
 // nextWeightPoint advances weightPoint by goldenRatio, modulo 1, and returns the new value: a fraction of the sum of the weights, at least 0 and
 // below 1. chooseByWeight multiplies this fraction by the sum to choose the target of the next request.
-func (r *Route) nextWeightPoint() float64 {
+func (r *Route) advanceWeightPoint() float64 {
 	_, r.weightPoint = math.Modf(r.weightPoint + goldenRatio)
 	return r.weightPoint
 }
@@ -54,7 +54,7 @@
 	}
 	c.routes[id] = &route
 	for _, t := range route.Targets {
-		c.service(t.Service)
+		c.getOrCreateService(t.Service)
 	}
 }
 
@@ -71,7 +71,7 @@
 
 // chooseService chooses one of a route's targets by weight. It prefers targets with a ready backend. It returns nil if all weights are 0.
 func (c *Controller) chooseService(route *Route) *service {
-	ready := func(s *service) bool { return s.readyBackends() > 0 }
+	ready := func(s *service) bool { return s.readyBackendCount() > 0 }
 	anyService := func(*service) bool { return true }
 	if s := c.chooseByWeight(route, ready); s != nil {
 		return s
@@ -83,16 +83,16 @@
 func (c *Controller) chooseByWeight(route *Route, eligible func(*service) bool) *service {
 	sum := 0
 	for _, t := range route.Targets {
-		if eligible(c.service(t.Service)) {
+		if eligible(c.getOrCreateService(t.Service)) {
 			sum += max(t.Weight, 0)
 		}
 	}
 	if sum == 0 {
 		return nil
 	}
-	point := int(route.nextWeightPoint() * float64(sum))
+	point := int(route.advanceWeightPoint() * float64(sum))
 	for _, t := range route.Targets {
-		s := c.service(t.Service)
+		s := c.getOrCreateService(t.Service)
 		if !eligible(s) {
 			continue
 		}
@@ -104,7 +104,7 @@
 }
 
 // hasRoute reports whether a service is a target of any route.
-func (c *Controller) hasRoute(s *service) bool {
+func (c *Controller) isRouteTarget(s *service) bool {
 	for _, route := range c.routes {
 		if slices.ContainsFunc(route.Targets, func(t Target) bool { return t.Service == s.id }) {
 			return true
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -24,7 +24,7 @@
 }
 
 // service returns a service, which it creates if necessary.
-func (c *Controller) service(id control.ServiceID) *service {
+func (c *Controller) getOrCreateService(id control.ServiceID) *service {
 	at, ok := slices.BinarySearchFunc(c.services, id, func(s *service, id control.ServiceID) int {
 		return int(s.id) - int(id)
 	})
@@ -36,7 +36,7 @@
 }
 
 // readyBackends returns the number of ready backends of a service, including its canary's unless the access is CanaryClosed.
-func (s *service) readyBackends() int {
+func (s *service) readyBackendCount() int {
 	n := s.balancer.ReadyCount()
 	if s.canary != nil && s.canaryAccess != CanaryClosed {
 		n += s.canary.balancer.ReadyCount()
@@ -88,7 +88,7 @@
 		if e.State == control.Gone {
 			return
 		}
-		s = c.service(e.Service)
+		s = c.getOrCreateService(e.Service)
 		c.serviceOf[e.ID] = s
 	}
 	s.balancer.SetEndpoint(c.now, e)
@@ -104,14 +104,14 @@
 }
 
 // retryTokens returns the number of retries that the budget of a service allows now.
-func (c *Controller) retryTokens(s *service) float64 {
+func (c *Controller) availableRetryTokens(s *service) float64 {
 	c.advanceBudget(s)
-	return s.budget.available()
+	return s.budget.availableTokens()
 }
 
 // retryAfter returns the time after which a rejected client should retry. The time is an estimate of how long this node needs to empty the
 // service's queue. The estimate follows from the queue's length, this node's capacity and the typical latency. The service may be nil.
-func (c *Controller) retryAfter(s *service) time.Duration {
+func (c *Controller) retryAfterTime(s *service) time.Duration {
 	if s == nil || s.balancer.ReadyCount() == 0 {
 		return time.Duration(float64(noBackendRetryAfter) * (retryAfterJitterBase + retryAfterJitter*c.rng.Float64()))
 	}
@@ -154,16 +154,16 @@
 	c.busyTime, c.spanStart = 0, now
 }
 
-func (c *concurrency) peak() float64 { return max(c.peaks[0], c.peaks[1]) }
+func (c *concurrency) highestPeak() float64 { return max(c.peaks[0], c.peaks[1]) }
 
 // PeakConcurrency returns the peak number of requests that this node had in flight at a service. During a roll-out it is the sum of the peaks of
 // both versions. A peak is the highest average over a span of ten seconds, in the present period of 30 minutes and the period before it. 0 means
 // unknown.
 func (c *Controller) PeakConcurrency(id control.ServiceID) float64 {
-	s := c.service(id)
-	peak := s.concurrency.peak()
+	s := c.getOrCreateService(id)
+	peak := s.concurrency.highestPeak()
 	if s.canary != nil {
-		peak += s.canary.concurrency.peak()
+		peak += s.canary.concurrency.highestPeak()
 	}
 	return peak
 }
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -71,7 +71,7 @@
 	})
 	for i := range nodes {
 		controller := New(100*seed+int64(i), Config{Zone: control.ZoneID(i % 3), RetryRatio: 0.2,
-			RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: nodes}, unlimited(), 0)
+			RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: nodes}, newUnlimitedLimiter(), 0)
 		controller.SetRoute(1, sim.route)
 		controller.EndpointsChanged(true, list)
 		sim.controllers = append(sim.controllers, controller)
@@ -81,14 +81,14 @@
 	return sim
 }
 
-func (s *simulation) after(d time.Duration, j job) { s.events.Add(s.now+d, j) }
+func (s *simulation) scheduleAfter(d time.Duration, j job) { s.events.Add(s.now+d, j) }
 
 func (s *simulation) randomTime(mean time.Duration) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
 // run processes the events until a time.
-func (s *simulation) run(until time.Duration) {
+func (s *simulation) runUntil(until time.Duration) {
 	for {
 		at, _ := s.events.NextDeadline()
 		if at > until {
@@ -96,14 +96,14 @@
 		}
 		s.now = at
 		j, _ := s.events.Take(at)
-		s.handle(j)
+		s.handleEvent(j)
 	}
 }
 
-func (s *simulation) handle(j job) {
+func (s *simulation) handleEvent(j job) {
 	controller := s.controllers[j.node]
 	if j.kind == "arrive" || j.kind == "done" {
-		s.serve(j)
+		s.handleAtServer(j)
 		return
 	}
 	controller.Now(s.now)
@@ -113,7 +113,7 @@
 		if kind > 1 {
 			rate *= addedRouteShare
 		}
-		s.after(s.randomTime(time.Duration(float64(time.Second)/rate)), j)
+		s.scheduleAfter(s.randomTime(time.Duration(float64(time.Second)/rate)), j)
 		s.lastTxn++
 		s.routeOf[s.lastTxn] = kind
 		s.requested[kind]++
@@ -157,9 +157,9 @@
 			if s.servers[decision.Backend-1].zone != controller.config.Zone {
 				s.crossZone++
 			}
-			s.after(time.Millisecond, j)
+			s.scheduleAfter(time.Millisecond, j)
 			j.kind = "cut"
-			s.after(decision.After, j)
+			s.scheduleAfter(decision.After, j)
 		case control.Reject, control.Fail:
 			if decision.Action == control.Fail {
 				s.failed++
@@ -172,12 +172,12 @@
 				controller.SubmissionEnded(decision.Txn, decision.Attempt, t.lastBackend, control.Canceled, t.ended, s.now-t.sentAt, nil)
 			}
 		case control.Wake:
-			s.after(decision.After, job{kind: "wake", node: node})
+			s.scheduleAfter(decision.After, job{kind: "wake", node: node})
 		}
 	}
 }
 
-func (s *simulation) serve(j job) {
+func (s *simulation) handleAtServer(j job) {
 	server := s.servers[j.backend-1]
 	if server.unresponsive {
 		return
@@ -185,38 +185,38 @@
 	if j.kind == "arrive" {
 		switch {
 		case server.busy < server.slots:
-			s.start(server, j)
+			s.startProcessing(server, j)
 		case len(server.queue) < server.slots:
 			server.queue = append(server.queue, j)
 		default:
 			j.kind = "full"
-			s.after(time.Millisecond, j)
+			s.scheduleAfter(time.Millisecond, j)
 		}
 		return
 	}
 	j.kind = "settled"
-	s.after(time.Millisecond, j)
+	s.scheduleAfter(time.Millisecond, j)
 	server.busy--
 	if len(server.queue) > 0 {
 		next := server.queue[0]
 		server.queue = server.queue[1:]
-		s.start(server, next)
+		s.startProcessing(server, next)
 	}
 }
 
-func (s *simulation) start(server *server, j job) {
+func (s *simulation) startProcessing(server *server, j job) {
 	server.busy++
 	d := time.Duration(float64(s.randomTime(s.meanServiceTime)) * server.speed)
 	j.kind = "done"
 	server.busyTime += d
-	s.after(d, j)
+	s.scheduleAfter(d, j)
 }
 
 // Checks that fast backends are used a little more than slow ones without being overloaded, that few requests leave their zone, and that load beyond
 // the capacity is rejected without harm to the other requests.
 func TestLoadIsBalancedWithinZonesAndExcessIsRejected(t *testing.T) {
 	sim := newSimulation(1, 12, 13, 4, 330, false)
-	sim.run(40 * time.Second)
+	sim.runUntil(40 * time.Second)
 	for zone := range control.ZoneID(3) {
 		lowestUse, highestUse := 1.0, 0.0
 		for _, s := range sim.servers {
@@ -226,12 +226,12 @@
 		}
 		must.Less(t, 1.35, highestUse/lowestUse) // speeds are 0.6 to 1.4, shares are their 1.6th power
 	}
-	must.Greater(t, 0.93, sim.share(sim.inTarget))
-	must.Less(t, 0.06, sim.share(sim.crossZone))
+	must.Greater(t, 0.93, sim.shareOfArrivals(sim.inTarget))
+	must.Less(t, 0.06, sim.shareOfArrivals(sim.crossZone))
 
 	sim = newSimulation(1, 12, 13, 4, 650, false) // 1.5 times the capacity of all backends
-	sim.run(40 * time.Second)
-	must.Greater(t, 0.55, sim.share(sim.inTarget))
+	sim.runUntil(40 * time.Second)
+	must.Greater(t, 0.55, sim.shareOfArrivals(sim.inTarget))
 	must.LessEq(t, 0.2*float64(sim.firstSubmissions)+64, float64(sim.retries))
 }
 
@@ -239,16 +239,16 @@
 func TestTwoUnresponsiveBackendsCostFewRequests(t *testing.T) {
 	for _, effectful := range []bool{false, true} {
 		sim := newSimulation(1, 12, 13, 4, 217, effectful)
-		sim.run(20 * time.Second)
+		sim.runUntil(20 * time.Second)
 		sim.arrived, sim.inTarget, sim.failed = 0, 0, 0
 		sim.servers[0].unresponsive, sim.servers[5].unresponsive = true, true
-		sim.run(50 * time.Second)
-		must.Greater(t, 0.92, sim.share(sim.inTarget))
-		must.Less(t, 0.008, sim.share(sim.failed))
+		sim.runUntil(50 * time.Second)
+		must.Greater(t, 0.92, sim.shareOfArrivals(sim.inTarget))
+		must.Less(t, 0.008, sim.shareOfArrivals(sim.failed))
 	}
 }
 
-func (s *simulation) share(n int) float64 { return float64(n) / float64(s.arrived) }
+func (s *simulation) shareOfArrivals(n int) float64 { return float64(n) / float64(s.arrived) }
 
 // addedRouteShare is the request rate of each route that was added later, as a share of the node's rate of the first route.
 const addedRouteShare = 0.1
@@ -259,7 +259,7 @@
 func TestAddedRoutesAreServed(t *testing.T) {
 	for _, nodes := range []int{3, 12} {
 		sim := newSimulation(2, nodes, 13, 4, 200, false)
-		sim.run(20 * time.Second)
+		sim.runUntil(20 * time.Second)
 		for i := range 3 {
 			sim.servers = append(sim.servers, &server{speed: 1.5, slots: 4, zone: control.ZoneID(i)})
 		}
@@ -278,7 +278,7 @@
 			}
 		}
 		sim.requested, sim.served = map[control.ProductID]int{}, map[control.ProductID]int{}
-		sim.run(25 * time.Second)
+		sim.runUntil(25 * time.Second)
 		firstRouteShare := float64(sim.served[1]) / float64(sim.requested[1])
 		must.Greater(t, 0.9, firstRouteShare)
 		for kind := control.ProductID(2); kind <= 3; kind++ {
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -50,7 +50,7 @@
 			c.finish(t, control.ReasonNoTime, 0)
 		}
 	case timerGiveUp:
-		c.giveUp(t)
+		c.endWait(t)
 	case timerDeadBackend:
 		c.cancelAtDeadBackend(t)
 	}
@@ -58,12 +58,12 @@
 
 // giveUp ends the wait of a request. If the request waits for units, the owner of its quota has not answered, so this node decides on the request a
 // last time. A request in the queue of a canary moves to the baseline version.
-func (c *Controller) giveUp(t *txn) {
+func (c *Controller) endWait(t *txn) {
 	switch {
 	case t.ended || t.inFlight || c.now < t.giveUpAt:
 	case t.queued && c.fallBackToBaseline(t):
 	case t.queued:
-		c.finish(t, control.ReasonNoBackend, c.retryAfter(t.service))
+		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
 	case t.awaitsUnits:
 		c.awaitingUnits = slices.DeleteFunc(c.awaitingUnits, func(other *txn) bool { return other == t })
 		t.awaitsUnits = false
@@ -76,7 +76,7 @@
 	if t.ended || !t.inFlight || t.cancelRequested || t.answerStarted || c.now < t.sentAt+minDeadTime {
 		return
 	}
-	mayRetry := t.attempts+1 < t.route.MaxAttempts && c.canMeetDeadline(t) && c.retryTokens(t.service) >= 1
+	mayRetry := t.attempts+1 < t.route.MaxAttempts && c.canMeetDeadline(t) && c.availableRetryTokens(t.service) >= 1
 	if mayRetry && t.service.balancer.IsDead(c.now, t.lastBackend) {
 		t.cancelRequested = true
 		c.cancelSubmission(t)
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -106,9 +106,9 @@
 	}
 	switch {
 	case !c.canMeetDeadline(t):
-		c.finish(t, control.ReasonNoTime, c.retryAfter(t.service))
+		c.finish(t, control.ReasonNoTime, c.retryAfterTime(t.service))
 	case t.submissions > 0 && !c.mayRetry(t):
-		c.finish(t, control.ReasonNoBackend, c.retryAfter(t.service))
+		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
 	case c.checkQuota(t):
 		c.enqueue(t)
 	}
@@ -160,7 +160,7 @@
 	if !t.mayRunAgain() || t.attempts >= t.route.MaxAttempts || t.failedConnects > maxFailedConnects {
 		return false
 	}
-	return t.attempts == 0 || c.retryTokens(t.service) >= 1
+	return t.attempts == 0 || c.availableRetryTokens(t.service) >= 1
 }
 
 // submit sends a request to a backend. It is the only place that does so, and it checks every rule again.
@@ -168,21 +168,21 @@
 	s := t.service
 	c.advanceBudget(s)
 	if t.attempts > 0 && t.attempts >= t.route.MaxAttempts { // LowerMaxAttempts was called while it was queued
-		c.finish(t, control.ReasonNoBackend, c.retryAfter(s))
+		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	allowed := !t.ended && !t.inFlight && t.mayRunAgain() && t.attempts < t.route.MaxAttempts &&
 		!slices.Contains(t.attempted, backend) && t.mayUseVersion()
 	invariant.Assert(allowed, "a submitted request may be sent to its backend")
 	if !allowed || !c.canMeetDeadline(t) {
-		c.finish(t, control.ReasonNoTime, c.retryAfter(s))
+		c.finish(t, control.ReasonNoTime, c.retryAfterTime(s))
 		return
 	}
 	switch {
 	case t.submissions == 0:
-		s.budget.deposit(depositShare * c.config.RetryRatio)
-	case t.attempts > 0 && !s.budget.withdraw():
-		c.finish(t, control.ReasonNoBackend, c.retryAfter(s))
+		s.budget.depositTokens(depositShare * c.config.RetryRatio)
+	case t.attempts > 0 && !s.budget.withdrawToken():
+		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	c.consumeUnits(t)
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -111,7 +111,7 @@
 	}
 	backend.Endpoint = e
 	if e.State == control.Gone {
-		b.remove(backend)
+		b.removeBackend(backend)
 	}
 	b.updateSlots()
 }
@@ -119,7 +119,7 @@
 func compareID(backend *backendState, id control.BackendID) int { return cmp.Compare(backend.ID, id) }
 
 // remove removes a backend from the order. Its requests in flight are still counted.
-func (b *Balancer) remove(backend *backendState) {
+func (b *Balancer) removeBackend(backend *backendState) {
 	if at, ok := slices.BinarySearchFunc(b.ordered, backend.ID, compareID); ok {
 		b.ordered = slices.Delete(b.ordered, at, at+1)
 	}
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -24,12 +24,12 @@
 		chosen: map[control.BackendID]int{}, responseTimes: map[control.BackendID]time.Duration{},
 		endings: map[control.BackendID]control.Ending{}}
 	for i := range 6 {
-		f.SetEndpoint(0, f.endpoint(control.BackendID(i+1), control.Ready))
+		f.SetEndpoint(0, f.testEndpoint(control.BackendID(i+1), control.Ready))
 	}
 	return f
 }
 
-func (f *fixture) endpoint(id control.BackendID, state control.BackendState) control.Endpoint {
+func (f *fixture) testEndpoint(id control.BackendID, state control.BackendState) control.Endpoint {
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
@@ -52,34 +52,34 @@
 	}
 }
 
-func (f *fixture) requestsToOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
+func (f *fixture) otherZoneRequestCount() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
 // Checks when requests go to another zone: only if the backends of this zone are late, reject all requests or fail.
 func TestRequestsLeaveZoneOnlyIfItIsLateOrFailing(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(300, Request{})
-	must.Zero(t, f.requestsToOtherZone())
+	must.Zero(t, f.otherZoneRequestCount())
 	// Somewhat slower responses in this zone are no reason to leave it, but late ones are.
 	for i := range 3 {
 		f.responseTimes[control.BackendID(i+1)] = 200 * time.Millisecond
 	}
 	f.sendRequests(300, Request{})
-	must.Zero(t, f.requestsToOtherZone())
+	must.Zero(t, f.otherZoneRequestCount())
 	for i := range 3 {
 		f.responseTimes[control.BackendID(i+1)] = 500 * time.Millisecond
 	}
 	f.sendRequests(300, Request{})
-	must.Greater(t, 50, f.requestsToOtherZone())
+	must.Greater(t, 50, f.otherZoneRequestCount())
 	// If all backends of a zone reject requests or fail, requests go to other zones as well. Requests return once the zone has recovered.
 	for _, ending := range []control.Ending{control.Rejected, control.Unreachable} {
 		f = newFixture(1)
 		f.endings[1], f.endings[2], f.endings[3] = ending, ending, ending
 		f.sendRequests(300, Request{})
-		must.Greater(t, 200, f.requestsToOtherZone())
+		must.Greater(t, 200, f.otherZoneRequestCount())
 		clear(f.endings)
 		f.sendRequests(600, Request{})
 		f.sendRequests(100, Request{})
-		must.Less(t, 10, f.requestsToOtherZone())
+		must.Less(t, 10, f.otherZoneRequestCount())
 	}
 }
 
@@ -127,10 +127,10 @@
 // Checks that a backend that is warming up gets a reduced share, which grows to its full size, and that a draining backend gets no requests.
 func TestWarmingUpBackendGetsReducedShareAndDrainingNone(t *testing.T) {
 	f := newFixture(1)
-	warmingUp := f.endpoint(7, control.Ready)
+	warmingUp := f.testEndpoint(7, control.Ready)
 	warmingUp.Zone, warmingUp.WarmingUntil = 0, f.now+6*time.Second
 	f.SetEndpoint(f.now, warmingUp)
-	f.SetEndpoint(f.now, f.endpoint(1, control.Draining))
+	f.SetEndpoint(f.now, f.testEndpoint(1, control.Draining))
 	f.sendRequests(300, Request{})
 	must.Between(t, 10, f.chosen[7], 50)
 	must.Zero(t, f.chosen[1])
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -55,7 +55,7 @@
 	b.countEnded(now, backend, outcome.Ending)
 	switch outcome.Ending {
 	case control.Canceled:
-		if dead || unresponsiveWhenCanceled(backend, outcome) {
+		if dead || wasUnresponsiveWhenCanceled(backend, outcome) {
 			b.recordResult(now, backend, 1, outcome.Ending)
 		}
 	case control.NotSent:
@@ -97,7 +97,7 @@
 
 // unresponsiveWhenCanceled reports whether a backend was unresponsive when a request was canceled because its client had left. Such a
 // cancellation counts as a failure: if all clients leave early, no request times out, so that no time-out would show the failure.
-func unresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
+func wasUnresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
 	return o.ClientLeft && !o.ProcessPaused && o.Took > backend.unresponsiveTime()
 }
 
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -41,9 +41,9 @@
 		}
 		return 0, NoBackend
 	}
-	result := b.search(now, r, r.Effectful)
-	if r.Effectful && !result.found() && !result.anyBusy {
-		result = b.search(now, r, false)
+	result := b.findNext(now, r, r.Effectful)
+	if r.Effectful && !result.hasNext() && !result.anyBusy {
+		result = b.findNext(now, r, false)
 	}
 	local, remote := result.next[ownZone], result.next[otherZones]
 	switch {
@@ -51,7 +51,7 @@
 		return remote.ID, Chosen
 	case local != nil:
 		return local.ID, Chosen
-	case remote != nil && (!result.anyBusy || b.otherZonesAcceptable()):
+	case remote != nil && (!result.anyBusy || b.mayUseOtherZones()):
 		return remote.ID, Chosen
 	case result.anyBusy:
 		b.saturatedAt = now
@@ -70,12 +70,12 @@
 	anyBusy     bool // there is a healthy backend that is busy
 }
 
-func (s *searchResult) found() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
+func (s *searchResult) hasNext() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
 
 // search finds the backends whose turn is next by their pass. Each request in flight counts as one more stride. A random part is added, so that
 // nodes with the same observations do not all choose the same backend. excludeFailing leaves out backends that are too unreliable for effectful
 // requests.
-func (b *Balancer) search(now time.Duration, r Request, excludeFailing bool) searchResult {
+func (b *Balancer) findNext(now time.Duration, r Request, excludeFailing bool) searchResult {
 	var result searchResult
 	for _, backend := range b.ordered {
 		if !r.mayGoTo(backend) {
@@ -108,7 +108,7 @@
 )
 
 func (b *Balancer) availability(now time.Duration, backend *backendState, r Request, excludeFailing bool) availability {
-	if backend.ejectedUntil > now || b.unresponsive(now, backend, r) {
+	if backend.ejectedUntil > now || b.isUnresponsive(now, backend, r) {
 		return unhealthy
 	}
 	if excludeFailing && (backend.failureShare > effectfulFailureThreshold ||
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -8,7 +8,7 @@
 
 // unresponsive reports whether a backend has left requests unanswered for much longer than such requests usually take. Once per trialInterval it
 // returns false for an idempotent request nevertheless, so that this request probes the backend.
-func (b *Balancer) unresponsive(now time.Duration, backend *backendState, r Request) bool {
+func (b *Balancer) isUnresponsive(now time.Duration, backend *backendState, r Request) bool {
 	if backend.unanswered == 0 {
 		return false
 	}
--- a/internal/gateway/balancer/subset.go
+++ b/internal/gateway/balancer/subset.go
@@ -60,7 +60,7 @@
 
 // updateSubset determines which backends are in the subset. It is called after a change of the backend list, the nodes or the request rate.
 func (b *Balancer) updateSubset() {
-	ring := b.ring()
+	ring := b.zoneRing()
 	n := len(ring)
 	size, first := n, 0
 	if b.zoneNodes > 0 {
@@ -79,7 +79,7 @@
 }
 
 // ring returns the ready backends of this zone, ordered by ID, which is a hash.
-func (b *Balancer) ring() (ring []*backendState) {
+func (b *Balancer) zoneRing() (ring []*backendState) {
 	for _, backend := range b.ordered {
 		if backend.State == control.Ready && b.locality(backend.Zone) == ownZone {
 			ring = append(ring, backend)
--- a/internal/gateway/balancer/zones.go
+++ b/internal/gateway/balancer/zones.go
@@ -23,7 +23,7 @@
 
 // otherZonesAcceptable reports whether a request may leave this zone when this zone has no capacity. If the other zones are as overloaded as
 // this zone, the request would only displace another request there.
-func (b *Balancer) otherZonesAcceptable() bool {
+func (b *Balancer) mayUseOtherZones() bool {
 	return b.valueLoss[otherZones] < overloadValueLoss || b.valueLoss[otherZones]+crossZoneCost < b.valueLoss[ownZone]
 }
 
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -63,7 +63,7 @@
 func (d *DedupWindow) Horizon() uint64 { return d.horizon }
 
 // newest returns the number of the last request, or the horizon if the window is empty.
-func (d *DedupWindow) newest() uint64 {
+func (d *DedupWindow) newestNumber() uint64 {
 	if len(d.requests) == 0 {
 		return d.horizon
 	}
@@ -72,8 +72,8 @@
 
 // Add records that a request was applied. Its number must be above the number of every request before it.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
-	invariant.Assert(number > d.newest(), "numbers of applied requests increase")
-	d.bytes += encodedSize(number - d.newest())
+	invariant.Assert(number > d.newestNumber(), "numbers of applied requests increase")
+	d.bytes += encodedSize(number - d.newestNumber())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
 	for d.bytes > d.maxBytes {
@@ -121,7 +121,7 @@
 		if difference == 0 {
 			return nil, errors.Wrap(ErrCorruptWindow, "request number does not increase")
 		}
-		d.Add(d.newest()+difference, Digest(b[size:size+len(Digest{})]))
+		d.Add(d.newestNumber()+difference, Digest(b[size:size+len(Digest{})]))
 		b = b[size+len(Digest{}):]
 	}
 	return d, nil
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -42,7 +42,7 @@
 }
 
 // clusterExists reports whether any node that this one has met holds a state of the core.
-func (r *Roster) clusterExists() bool {
+func (r *Roster) knowsExistingCluster() bool {
 	for _, p := range r.peers {
 		if p.helloReceived && p.Bootstrapped {
 			return true
@@ -80,7 +80,7 @@
 		p := r.peers[f.Addr]
 		if f.Addr == r.self.Addr && !r.self.Bootstrapped || p != nil && p.linkUp && p.Disk == f.Disk && !p.Bootstrapped {
 			r.bootstrapSentAt[f.Addr] = r.now
-			r.push(Action{Kind: Bootstrap, Addr: f.Addr, Founders: r.founders})
+			r.addAction(Action{Kind: Bootstrap, Addr: f.Addr, Founders: r.founders})
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		startDelay += bootstrapRestartDelay
 	}
 	age := r.now - r.startedAt
-	if r.self.Bootstrapped || seedIndex < 0 || age < startDelay || !r.reachesSeedMajority() {
+	if r.self.Bootstrapped || seedIndex < 0 || age < startDelay || !r.isSeedMajorityReachable() {
 		return nil
 	}
 	founders, ok := r.founderCandidates(seedIndex)
@@ -113,7 +113,7 @@
 
 // reachesSeedMajority reports whether this node, if it is a seed, and the seeds heard from within bootstrapContactTimeout are
 // together more than half of the seeds.
-func (r *Roster) reachesSeedMajority() bool {
+func (r *Roster) isSeedMajorityReachable() bool {
 	reached := 0
 	for _, seed := range r.config.Seeds {
 		p := r.peers[seed]
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -46,11 +46,11 @@
 	if p.helloReceived {
 		p.hello.acknowledged = p.fingerprint()
 	}
-	r.push(Action{Kind: SendHello, Addr: addr})
+	r.addAction(Action{Kind: SendHello, Addr: addr})
 }
 
 // repeatHello sends the hello again if needsRepeat reports that it is needed.
-func (r *Roster) repeatHello(addr string, p *peer) {
+func (r *Roster) repeatHelloIfNeeded(addr string, p *peer) {
 	if p.hello.needsRepeat(p, r.now) {
 		p.hello.repeats++
 		r.sendHello(addr, p)
@@ -58,7 +58,7 @@
 }
 
 // helloAll sends hellos to all linked nodes, because this node's description has changed.
-func (r *Roster) helloAll() {
+func (r *Roster) sendHelloToAll() {
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
 		p.hello.repeats, p.hello.confirmed = 0, false
@@ -73,7 +73,7 @@
 // nodes follow. Naming them in each hello would make the traffic grow with the square of the number of nodes.
 func (r *Roster) HelloTo(addr string) Hello {
 	to := r.peers[addr]
-	hello := Hello{Node: r.self, ClusterExists: r.clusterExists()}
+	hello := Hello{Node: r.self, ClusterExists: r.knowsExistingCluster()}
 	if to != nil && to.helloReceived {
 		hello.Acknowledged = to.fingerprint()
 	}
@@ -89,7 +89,7 @@
 // HandleHello processes a hello that another node sent. The node is identified by the address that its frames come from, whatever
 // address the hello gives.
 func (r *Roster) HandleHello(from string, hello Hello) {
-	p := r.discover(from)
+	p := r.findOrAddPeer(from)
 	if p == nil {
 		return
 	}
@@ -99,20 +99,20 @@
 	}
 	restarted := p.helloReceived && p.Incarnation != hello.Node.Incarnation
 	isNewDisk := hasDisk && (!p.helloReceived || p.Disk != hello.Node.Disk)
-	clusterExisted := r.clusterExists()
+	clusterExisted := r.knowsExistingCluster()
 	p.hello.recordReceived(&hello, p, &r.self)
 	p.Node, p.helloReceived, p.knowsCluster, p.receivedAt, p.helloAt = hello.Node, true, hello.ClusterExists, r.now, r.now
 	p.Addr = from
 	r.updateLink(from, p)
 	switch {
-	case clusterExisted && !r.clusterExists():
+	case clusterExisted && !r.knowsExistingCluster():
 		// The peer held a bootstrap that no other node joined, and dropped it. The nodes that learned of that bootstrap from this
 		// node must not keep waiting for it.
-		r.helloAll()
-	case clusterExisted != r.clusterExists():
-		r.notifySeeds()
+		r.sendHelloToAll()
+	case clusterExisted != r.knowsExistingCluster():
+		r.notifySeedsOfCluster()
 	}
-	r.addAdvertised(hello.KnownAddrs)
+	r.addAdvertisedNodes(hello.KnownAddrs)
 	if isNewDisk && r.self.Disk == 0 {
 		r.sendHelloToDiskless()
 	}
@@ -123,9 +123,9 @@
 }
 
 // addAdvertised adds the addresses that another node named in its hello.
-func (r *Roster) addAdvertised(addrs []string) {
+func (r *Roster) addAdvertisedNodes(addrs []string) {
 	for _, addr := range addrs {
-		if p := r.discover(addr); p != nil {
+		if p := r.findOrAddPeer(addr); p != nil {
 			p.advertised = true
 			r.updateLink(addr, p)
 		}
@@ -144,7 +144,7 @@
 
 // notifySeeds sends hellos to the seeds that may still bootstrap the core, because it has become known that a core exists. The
 // seeds may not reach the node that holds its state.
-func (r *Roster) notifySeeds() {
+func (r *Roster) notifySeedsOfCluster() {
 	for _, addr := range r.config.Seeds {
 		if p := r.peers[addr]; p != nil && p.linkUp && p.helloReceived && p.FirstStart && !p.Bootstrapped {
 			r.sendHello(addr, p)
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -20,12 +20,12 @@
 		node := New(Node{Addr: "node", Incarnation: 2}, Config{Seeds: []string{"disk"}}, now)
 		disk := New(Node{Addr: "disk", Disk: 7, Bootstrapped: true, Incarnation: 9}, Config{Seeds: []string{"disk"}}, now)
 		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // from the node's earlier incarnation
-		drain(disk)
+		takeActions(disk)
 		node.LinkUp("disk")
 		disk.LinkUp("node")
 		sent, last := 0, time.Duration(0)
 		carry := func(from, to *Roster) {
-			for _, a := range drain(from) {
+			for _, a := range takeActions(from) {
 				if a.Kind != SendHello || a.Addr != to.self.Addr {
 					continue
 				}
@@ -66,20 +66,20 @@
 		r := New(me, Config{Seeds: []string{"disk"}}, now)
 		r.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}, Acknowledged: acknowledged})
 		r.LinkUp("node")
-		sent := count(drain(r), SendHello, "node")
+		sent := countActions(takeActions(r), SendHello, "node")
 		must.Eq(t, 1, sent)
 		for range 100 {
 			now += refreshInterval
 			r.Tick(now)
 			r.FrameReceived("node")
-			sent += count(drain(r), SendHello, "node")
+			sent += countActions(takeActions(r), SendHello, "node")
 		}
 		must.Eq(t, map[uint64]int{0: 1 + maxHelloRepeats, me.fingerprint(): 1}[acknowledged], sent)
 	}
 }
 
 // Every field that other nodes act on changes the fingerprint.
-func TestFingerprintsDiffer(t *testing.T) {
+func TestEveryFieldChangesFingerprint(t *testing.T) {
 	seen := map[uint64]Node{}
 	for incarnation := range uint64(4) {
 		for disk := range DiskID(4) {
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -26,20 +26,20 @@
 	isPresent := p.helloReceived || r.now-p.receivedAt < livenessTimeout || r.now-p.discoveredAt >= passiveDialDelay
 	hasRecentHello := r.now-p.helloAt < disklessLinkTimeout
 	want := r.self.Disk != 0 && isPresent || p.Disk != 0 || p.advertised && !p.helloReceived || hasRecentHello ||
-		slices.Contains(r.seeds, addr) && !r.attached()
+		slices.Contains(r.seeds, addr) && !r.hasJoinedCluster()
 	switch {
 	case want && !p.linkWanted:
-		r.push(Action{Kind: Connect, Addr: addr})
+		r.addAction(Action{Kind: Connect, Addr: addr})
 	case !want && p.linkWanted:
 		p.linkUp = false
-		r.push(Action{Kind: Disconnect, Addr: addr})
+		r.addAction(Action{Kind: Disconnect, Addr: addr})
 	}
 	p.linkWanted = want
 }
 
 // attached reports whether this node no longer needs its seeds, because the log has assigned slots and a node with a disk is
 // live.
-func (r *Roster) attached() bool {
+func (r *Roster) hasJoinedCluster() bool {
 	if len(r.slotHolders) == 0 {
 		return false
 	}
@@ -56,7 +56,7 @@
 func (r *Roster) SetSeeds(addrs []string) {
 	r.seeds = addrs
 	for _, addr := range addrs {
-		if p := r.discover(addr); p != nil {
+		if p := r.findOrAddPeer(addr); p != nil {
 			r.updateLink(addr, p)
 		}
 	}
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -93,7 +93,7 @@
 
 // reachable reports whether any frame came from a node within livenessTimeout. It is always true for this node, and false for a
 // node that has sent no hello.
-func (r *Roster) reachable(addr string) bool {
+func (r *Roster) isReachable(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.helloReceived && r.now-p.receivedAt < livenessTimeout
 }
@@ -101,11 +101,11 @@
 // ReachableSlots returns the bit set of the slots that this node reaches itself. Nodes with a disk report it to each other. It
 // includes nothing that other nodes reported. Otherwise two nodes could repeat each other's reports, and would count a dead node as
 // live without end.
-func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.reachable) }
+func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.isReachable) }
 
 // LiveSlots returns the bit set of the slots of live nodes. Nodes with a disk report it to their followers.
 func (r *Roster) LiveSlots() []byte {
-	return r.slotSet(func(addr string) bool { return r.reachable(addr) || r.reportedLive(r.Slot(addr)) })
+	return r.slotSet(func(addr string) bool { return r.isReachable(addr) || r.isReportedLive(r.Slot(addr)) })
 }
 
 // HandleLiveness stores the liveness report of another node. The report holds the sender's ReachableSlots, or its LiveSlots if
@@ -119,9 +119,9 @@
 }
 
 // reportedLive reports whether a reachable node has reported a slot within livenessTimeout.
-func (r *Roster) reportedLive(s Slot) bool {
+func (r *Roster) isReportedLive(s Slot) bool {
 	for from, report := range r.livenessReports {
-		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.reachable(from) {
+		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 
 // FrameReceived records that a frame of any kind came from a node.
 func (r *Roster) FrameReceived(addr string) {
-	if p := r.discover(addr); p != nil {
+	if p := r.findOrAddPeer(addr); p != nil {
 		p.receivedAt = r.now
 		if !p.live {
 			r.refresh()
@@ -146,22 +146,22 @@
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
 		connected := !p.linkWanted || p.linkUp && p.helloReceived
-		if live := connected && (r.reachable(addr) || r.reportedLive(r.Slot(addr))); live != p.live {
+		if live := connected && (r.isReachable(addr) || r.isReportedLive(r.Slot(addr))); live != p.live {
 			p.live, r.liveNodesChanged = live, true
 		}
 		r.updateLink(addr, p)
-		r.repeatHello(addr, p)
+		r.repeatHelloIfNeeded(addr, p)
 		if r.Slot(addr) == NoSlot && !slices.Contains(r.seeds, addr) && r.now-max(p.receivedAt, p.discoveredAt) > forgetAfter {
-			r.forget(addr, p)
+			r.forgetPeer(addr, p)
 		}
 	}
 	r.bootstrap()
 }
 
-func (r *Roster) forget(addr string, p *peer) {
+func (r *Roster) forgetPeer(addr string, p *peer) {
 	delete(r.peers, addr)
 	if p.linkWanted {
-		r.push(Action{Kind: Disconnect, Addr: addr})
+		r.addAction(Action{Kind: Disconnect, Addr: addr})
 	}
 }
 
--- a/internal/gateway/membership/liveness_test.go
+++ b/internal/gateway/membership/liveness_test.go
@@ -10,9 +10,9 @@
 // Each node without a disk chooses an upstream, the node with a disk whose log stream it applies. Guards against nodes that are in a
 // zone without a disk and all choose the first upstream by address. With six nodes with a disk, the first of the six then received
 // twice the mean load.
-func TestNodesPreferDifferentNodes(t *testing.T) {
+func TestNodesPreferDifferentUpstreams(t *testing.T) {
 	const nodes, disks = 600, 6
-	turned := map[string]int{}
+	preferredBy := map[string]int{}
 	for i := range nodes {
 		from, best := fmt.Sprintf("10.0.%d.%d:7110", i/200, i%200), ""
 		for d := range disks {
@@ -20,10 +20,10 @@
 				best = a
 			}
 		}
-		turned[best]++
+		preferredBy[best]++
 	}
-	must.MapLen(t, disks, turned)
-	for a, n := range turned {
+	must.MapLen(t, disks, preferredBy)
+	for a, n := range preferredBy {
 		must.Between(t, nodes/disks/2, n, nodes/disks*3/2, must.Sprint(a))
 	}
 	must.False(t, Prefers("a", "b", "b"))
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -95,7 +95,7 @@
 	return Action{}, false
 }
 
-func (r *Roster) push(a Action) { r.actions = append(r.actions, a) }
+func (r *Roster) addAction(a Action) { r.actions = append(r.actions, a) }
 
 // Self returns this node's description of itself.
 func (r *Roster) Self() Node { return r.self }
@@ -105,14 +105,14 @@
 func (r *Roster) SetCluster(disk DiskID, clusterID uint64) {
 	if r.self.Disk != disk || r.self.ClusterID != clusterID {
 		r.self.Disk, r.self.Bootstrapped, r.self.ClusterID = disk, clusterID != 0, clusterID
-		r.helloAll()
+		r.sendHelloToAll()
 	}
 }
 
 // AnnounceShutdown tells all linked nodes that this node is shutting down.
 func (r *Roster) AnnounceShutdown() {
 	r.self.Leaving = true
-	r.helloAll()
+	r.sendHelloToAll()
 }
 
 // SetSlots sets the slot holders from the core's log. The caller must not modify the slice afterwards.
@@ -121,7 +121,7 @@
 	clear(r.slots)
 	for i, holder := range holders {
 		r.slots[holder.Addr] = Slot(i)
-		r.discover(holder.Addr)
+		r.findOrAddPeer(holder.Addr)
 	}
 	r.liveNodesChanged = true
 }
@@ -169,7 +169,7 @@
 
 // discover returns the peer at an address and adds it if it is new. It returns nil if the address is empty or this node's own, or
 // if it is new and maxNodes nodes are already known.
-func (r *Roster) discover(addr string) *peer {
+func (r *Roster) findOrAddPeer(addr string) *peer {
 	p := r.peers[addr]
 	if p != nil || addr == r.self.Addr || addr == "" || len(r.peers) >= maxNodes {
 		return p
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -17,7 +17,7 @@
 type event func(*Roster)
 
 // interleave calls visit with every interleaving of several sequences. Each sequence keeps its own order.
-func interleave(seqs [][]event, visit func([]event)) {
+func forEachInterleaving(seqs [][]event, visit func([]event)) {
 	var order []event
 	var step func()
 	step = func() {
@@ -38,14 +38,14 @@
 	step()
 }
 
-func drain(r *Roster) (all []Action) {
+func takeActions(r *Roster) (all []Action) {
 	for a, ok := r.Next(); ok; a, ok = r.Next() {
 		all = append(all, a)
 	}
 	return all
 }
 
-func count(all []Action, kind ActionKind, addr string) (n int) {
+func countActions(all []Action, kind ActionKind, addr string) (n int) {
 	for _, a := range all {
 		if a.Kind == kind && a.Addr == addr {
 			n++
@@ -67,19 +67,19 @@
 	up := func(a string) event { return func(r *Roster) { r.LinkUp(a) } }
 	down := func(a string) event { return func(r *Roster) { r.LinkDown(a) } }
 	orderCount := 0
-	interleave([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
+	forEachInterleaving([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
 		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
 		r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
 		var actions []Action
 		for _, e := range order {
 			e(r)
-			actions = append(actions, drain(r)...)
+			actions = append(actions, takeActions(r)...)
 		}
 		orderCount++
 		must.True(t, slices.Equal([]Node{{Addr: "me", Disk: 9}, {Name: "a", Addr: "a", Disk: 1, Incarnation: 1},
 			{Name: "b", Addr: "b", Disk: 3, Incarnation: 2}}, r.LiveDiskNodes()))
 		must.True(t, slices.Equal([]string{"a", "b", "d", "x"}, r.Addrs()))
-		must.Eq(t, "1 1 1", fmt.Sprint(count(actions, Connect, "x"), count(actions, SendHello, "a"), count(actions, SendHello, "b")))
+		must.Eq(t, "1 1 1", fmt.Sprint(countActions(actions, Connect, "x"), countActions(actions, SendHello, "a"), countActions(actions, SendHello, "b")))
 	})
 	must.Eq(t, 22680, orderCount)
 }
@@ -103,23 +103,23 @@
 	bootstrappers  []string                   // the nodes that chose founders, in order
 }
 
-func clusterIDOf(list []Founder) uint64 {
+func testClusterID(list []Founder) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, list)
 	return h.Sum64() | 1
 }
 
 func newSimCluster(seeds string, disks ...string) *simCluster {
-	sim := &simCluster{config: Config{strings.Split(seeds, ""), 1, clusterIDOf}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
+	sim := &simCluster{config: Config{strings.Split(seeds, ""), 1, testClusterID}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
 	for i, n := range disks {
-		sim.start(n, DiskID(i+1), true)
+		sim.startNode(n, DiskID(i+1), true)
 	}
 	return sim
 }
 
 // start begins an incarnation of a node. Its disk keeps the founders that it accepted before.
-func (sim *simCluster) start(name string, disk DiskID, first bool) *simNode {
+func (sim *simCluster) startNode(name string, disk DiskID, first bool) *simNode {
 	a := sim.nodes[name]
 	if a == nil {
 		a = &simNode{}
@@ -128,13 +128,13 @@
 	}
 	me := Node{Name: name, Addr: name, Disk: disk, FirstStart: first, Incarnation: uint64(sim.now) + 1, Bootstrapped: a.founders != nil}
 	if a.founders != nil {
-		me.ClusterID = clusterIDOf(a.founders)
+		me.ClusterID = testClusterID(a.founders)
 	}
 	a.Roster, a.stopped, a.linkUp = New(me, sim.config, sim.now), false, map[string]bool{}
 	return a
 }
 
-func (sim *simCluster) reachable(a, b string) bool {
+func (sim *simCluster) canReach(a, b string) bool {
 	x := sim.nodes[b]
 	return x != nil && !x.stopped && !sim.nodes[a].stopped && sim.connected(a, b)
 }
@@ -149,14 +149,14 @@
 		}
 		a.Tick(sim.now)
 		for _, to := range a.Addrs() {
-			if up := sim.reachable(n, to); up != a.linkUp[to] {
+			if up := sim.canReach(n, to); up != a.linkUp[to] {
 				if a.linkUp[to] = up; up {
 					a.LinkUp(to)
 				} else {
 					a.LinkDown(to)
 				}
 			}
-			if sim.reachable(to, n) && sim.nodes[to].linkUp[n] && slices.Contains(sim.nodes[to].HeartbeatTargets(), n) {
+			if sim.canReach(to, n) && sim.nodes[to].linkUp[n] && slices.Contains(sim.nodes[to].HeartbeatTargets(), n) {
 				a.FrameReceived(to)
 			}
 		}
@@ -165,11 +165,11 @@
 		again = false
 		for _, n := range sim.names {
 			a := sim.nodes[n]
-			for _, action := range drain(a.Roster) {
+			for _, action := range takeActions(a.Roster) {
 				if again = true; action.Kind == Bootstrap {
 					sim.deliverBootstrap(n, action)
 				}
-				if action.Kind == SendHello && sim.reachable(n, action.Addr) {
+				if action.Kind == SendHello && sim.canReach(n, action.Addr) {
 					sim.nodes[action.Addr].HandleHello(n, a.HelloTo(action.Addr))
 				}
 			}
@@ -182,22 +182,22 @@
 		sim.proposals[founders], sim.bootstrappers = true, append(sim.bootstrappers, from)
 	}
 	to := sim.nodes[action.Addr]
-	if from != action.Addr && (!sim.reachable(from, action.Addr) || sim.dropsBootstrap(from, action.Addr)) || to.founders != nil {
+	if from != action.Addr && (!sim.canReach(from, action.Addr) || sim.dropsBootstrap(from, action.Addr)) || to.founders != nil {
 		return
 	}
 	if self := (Founder{to.Self().Disk, action.Addr}); slices.Contains(action.Founders, self) {
 		to.founders = action.Founders
-		to.SetCluster(self.Disk, clusterIDOf(action.Founders))
+		to.SetCluster(self.Disk, testClusterID(action.Founders))
 	}
 }
 
-func (sim *simCluster) stop(names ...string) {
+func (sim *simCluster) stopNodes(names ...string) {
 	for _, n := range names {
 		sim.nodes[n].stopped = true
 	}
 }
 
-func (sim *simCluster) until(t time.Duration) *simCluster {
+func (sim *simCluster) runUntil(t time.Duration) *simCluster {
 	for sim.now < t {
 		sim.step()
 	}
@@ -205,7 +205,7 @@
 }
 
 // majorities counts the lists of founders that more than half of the listed founders have stored.
-func (sim *simCluster) majorities() (n int) {
+func (sim *simCluster) majorityCount() (n int) {
 	holds := map[string]int{}
 	for _, a := range sim.nodes {
 		if a.founders != nil {
@@ -222,28 +222,28 @@
 // the message again where it was lost.
 func TestFirstSeedBootstraps(t *testing.T) {
 	sim := newSimCluster("abc", "a", "b", "c")
-	sim.start("d", 0, true)
+	sim.startNode("d", 0, true)
 	bootstrapMessages := 0
 	sim.dropsBootstrap = func(_, to string) bool { bootstrapMessages++; return to == "c" && bootstrapMessages < 4 }
-	sim.until(400 * ms)
+	sim.runUntil(400 * ms)
 	must.MapEmpty(t, sim.proposals)
-	sim.until(2 * time.Second)
+	sim.runUntil(2 * time.Second)
 	must.Eq(t, []string{"a"}, sim.bootstrappers)
 	founders := []Founder{{1, "a"}, {2, "b"}, {3, "c"}}
 	must.Eq(t, founders, sim.nodes["b"].founders)
 	must.SliceEmpty(t, sim.nodes["c"].founders)
-	sim.until(8 * time.Second)
+	sim.runUntil(8 * time.Second)
 	must.Eq(t, founders, sim.nodes["c"].founders)
 	must.SliceEmpty(t, sim.nodes["d"].founders)
 	must.Eq(t, []string{"a"}, sim.bootstrappers)
 	sent := bootstrapMessages
-	sim.until(20 * time.Second) // all founders hold it, so nothing is sent again
+	sim.runUntil(20 * time.Second) // all founders hold it, so nothing is sent again
 	must.Eq(t, sent, bootstrapMessages)
 }
 
 // A later seed bootstraps only if the seed before it was never live, has gone or has run before. No seed bootstraps if a node
 // that it has met holds a state.
-func TestBootstrapTurns(t *testing.T) {
+func TestSeedsBootstrapInTurn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		seeds        string
@@ -251,52 +251,52 @@
 		bootstrapper string // the node that chose the founders
 		founderCount int    // number of founders in each list
 	}{
-		{"first seed never starts", "abc", func(sim *simCluster) { sim.stop("a") }, "b", 2},
-		{"first seed stops early", "abc", func(sim *simCluster) { sim.until(200 * ms).stop("a") }, "b", 3},
+		{"first seed never starts", "abc", func(sim *simCluster) { sim.stopNodes("a") }, "b", 2},
+		{"first seed stops early", "abc", func(sim *simCluster) { sim.runUntil(200 * ms).stopNodes("a") }, "b", 3},
 		{"first seed stops and restarts in another incarnation", "abc", func(sim *simCluster) {
-			sim.until(200 * ms).stop("a")
-			sim.until(1000*ms).start("a", 1, false)
+			sim.runUntil(200 * ms).stopNodes("a")
+			sim.runUntil(1000*ms).startNode("a", 1, false)
 		}, "b", 3},
 		{"first seed starts late, while the second waits for its turn", "abc", func(sim *simCluster) {
-			sim.stop("a")
-			sim.until(2200*ms).start("a", 1, true)
+			sim.stopNodes("a")
+			sim.runUntil(2200*ms).startNode("a", 1, true)
 		}, "a", 3},
 		{"first seed restarts with a state", "abc", func(sim *simCluster) {
-			sim.until(200 * ms).stop("a")
+			sim.runUntil(200 * ms).stopNodes("a")
 			sim.nodes["a"].founders = []Founder{{1, "a"}}
-			sim.until(1000*ms).start("a", 1, false)
+			sim.runUntil(1000*ms).startNode("a", 1, false)
 		}, "", 0},
 		{"another seed holds a state", "abc", func(sim *simCluster) {
 			sim.nodes["c"].founders = []Founder{{3, "c"}}
-			sim.start("c", 3, false)
+			sim.startNode("c", 3, false)
 		}, "", 0},
-		{"two of three seeds never start", "abc", func(sim *simCluster) { sim.stop("a", "b") }, "", 0},
+		{"two of three seeds never start", "abc", func(sim *simCluster) { sim.stopNodes("a", "b") }, "", 0},
 		{"no seed has a disk", "def", func(sim *simCluster) {
 			for _, n := range []string{"d", "e", "f"} {
-				sim.start(n, 0, true)
+				sim.startNode(n, 0, true)
 			}
-			sim.stop("d", "c")
+			sim.stopNodes("d", "c")
 		}, "e", 2},
 		{"a seed without a disk reaches two seeds that do not reach each other", "abf", func(sim *simCluster) {
-			sim.start("f", 0, true)
-			sim.start("d", 4, true)
+			sim.startNode("f", 0, true)
+			sim.startNode("d", 4, true)
 			sim.connected = func(a, b string) bool { return strings.Contains("af fa bf fb ad da bc cb", a+b) }
 		}, "a", 2},
 		{"all nodes were killed before a bootstrap was on disk", "abc", func(sim *simCluster) {
 			for nr, n := range []string{"a", "b", "c"} {
-				sim.start(n, DiskID(nr+1), false)
+				sim.startNode(n, DiskID(nr+1), false)
 			}
 		}, "a", 3},
 		{"all nodes but one are stopped, and its disk was wiped", "abc", func(sim *simCluster) {
-			sim.stop("a", "b")
-			sim.start("c", 9, false)
+			sim.stopNodes("a", "b")
+			sim.startNode("c", 9, false)
 		}, "", 0},
 		{"the only seed reaches no other node", "a", func(sim *simCluster) { sim.connected = func(_, _ string) bool { return false } }, "a", 1},
 		{"all seeds have the same address", "bbb", func(*simCluster) {}, "b", 3},
 	} {
 		sim := newSimCluster(c.seeds, "a", "b", "c")
 		c.setUp(sim)
-		sim.until(12 * time.Second)
+		sim.runUntil(12 * time.Second)
 		by := strings.Join(sim.bootstrappers, "")
 		must.Eq(t, c.bootstrapper, by, must.Sprint(c.name))
 		for list := range sim.proposals {
@@ -327,16 +327,16 @@
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
 				sim.step()
-				must.LessEq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.LessEq(t, 1, sim.majorityCount(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
-					onlyFirstSeedHolds = a.founders != nil && sim.majorities() == 0
+					onlyFirstSeedHolds = a.founders != nil && sim.majorityCount() == 0
 				} else if sim.now == stopsAt+800*ms {
-					sim.start("a", 1, false)
+					sim.startNode("a", 1, false)
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorities(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.Eq(t, 1, sim.majorityCount(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
@@ -351,16 +351,16 @@
 		r.LinkUp(a)
 	}
 	r.SetSlots([]SlotHolder{{Addr: "me"}, {Addr: "y"}})
-	must.Eq(t, 1, count(drain(r), LiveNodesChanged, ""))
+	must.Eq(t, 1, countActions(takeActions(r), LiveNodesChanged, ""))
 	must.Eq(t, Slot(1), r.Slot("y"))
 	must.Eq(t, NoSlot, r.Slot("x"))
 	for at := time.Duration(0); at < livenessTimeout; at += 100 * ms {
 		r.Tick(at)
 		r.FrameReceived("x")
-		must.SliceEmpty(t, drain(r))
+		must.SliceEmpty(t, takeActions(r))
 	}
 	r.Tick(livenessTimeout)
-	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // s and y are lost at the same time
+	must.Eq(t, 1, countActions(takeActions(r), LiveNodesChanged, "")) // s and y are lost at the same time
 	tickUntil := func(until time.Duration) {
 		for at := r.now; at < until; at += 500 * ms {
 			r.Tick(at)
@@ -372,13 +372,13 @@
 	r.FrameReceived("y")
 	must.True(t, r.IsLive("y")) // its link never ended
 	r.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
-	must.Eq(t, 1, count(drain(r), LiveNodesChanged, "")) // y stays live, but in another incarnation
+	must.Eq(t, 1, countActions(takeActions(r), LiveNodesChanged, "")) // y stays live, but in another incarnation
 	tickUntil(livenessTimeout + forgetAfter + ms)
-	actions := drain(r)
-	must.Eq(t, 1, count(actions, Disconnect, "x"))
+	actions := takeActions(r)
+	must.Eq(t, 1, countActions(actions, Disconnect, "x"))
 	must.Eq(t, []string{"s", "y"}, r.Addrs())
 	r.FrameReceived("x")
-	must.Eq(t, 1, count(drain(r), Connect, "x"))
+	must.Eq(t, 1, countActions(takeActions(r), Connect, "x"))
 	var addrs []string
 	for i := range 2 * maxNodes {
 		addrs = append(addrs, fmt.Sprint("z", i))
@@ -396,7 +396,7 @@
 func TestLinksGoThroughDiskNodes(t *testing.T) {
 	sim := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
-		sim.start(n, 0, true)
+		sim.startNode(n, 0, true)
 	}
 	assignSlots := func() {
 		var holders []SlotHolder
@@ -433,7 +433,7 @@
 			}
 		}
 	}
-	sim.until(3 * time.Second)
+	sim.runUntil(3 * time.Second)
 	assignSlots()
 	reportLiveness(10 * time.Second)
 	must.Eq(t, "bcdefg", linked("a"))
@@ -443,15 +443,15 @@
 		must.Eq(t, []string{"a", "b", "c"}, sim.nodes[n].HelloTo("f").KnownAddrs)
 	}
 	sim.nodes["a"].stopped = true // the only seed with a disk
-	sim.start("h", 0, false)
+	sim.startNode("h", 0, false)
 	reportLiveness(time.Second)
 	must.Eq(t, "abcde", linked("h")) // a is a seed and may come back
 	assignSlots()
 	reportLiveness(10 * time.Second)
 	must.Eq(t, "abc", linked("h"))
 	must.Eq(t, "abc", linked("d"))
-	sim.stop("b", "c")
-	sim.until(sim.now + 4*time.Second)
+	sim.stopNodes("b", "c")
+	sim.runUntil(sim.now + 4*time.Second)
 	must.Eq(t, "abcde", linked("h"))
 	must.Eq(t, "abce", linked("d"))
 }
@@ -467,17 +467,17 @@
 	r.HandleLiveness("a", []byte{7})
 	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(500 * ms)
-	drain(r)
+	takeActions(r)
 	r.Tick(20 * time.Second)
-	must.SliceEmpty(t, drain(r))
+	must.SliceEmpty(t, takeActions(r))
 	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	for at := 20 * time.Second; at < 21900*ms; at += 500 * ms {
 		r.Tick(at)
-		drain(r)
+		takeActions(r)
 	}
 	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(22 * time.Second)
-	drain(r)
+	takeActions(r)
 	must.False(t, r.IsLive("a") || r.IsLive("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
 }
 
@@ -486,24 +486,24 @@
 // bootstrapContactTimeout. Guards against a first seed that creates a cluster which the other nodes never join.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	bootstraps := func(pause time.Duration, othersSend bool) bool {
-		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: clusterIDOf}, 0)
+		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: testClusterID}, 0)
 		for i, n := range []string{"b", "c"} {
 			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: DiskID(i + 2), FirstStart: true, Incarnation: 1}})
 			r.LinkUp(n)
 		}
-		drain(r)
+		takeActions(r)
 		for r.now < 400*ms {
 			r.Tick(r.now + 100*ms)
 		}
 		r.Tick(r.now + pause)
-		actions := drain(r)
-		for end := r.now + time.Second; r.now < end; actions = append(actions, drain(r)...) {
+		actions := takeActions(r)
+		for end := r.now + time.Second; r.now < end; actions = append(actions, takeActions(r)...) {
 			if r.Tick(r.now + 100*ms); othersSend {
 				r.FrameReceived("b")
 				r.HandleHello("c", Hello{Node: Node{Name: "c", Disk: 3, FirstStart: true, Incarnation: 1, Bootstrapped: pause > 0}})
 			}
 		}
-		return count(actions, Bootstrap, "a") > 0
+		return countActions(actions, Bootstrap, "a") > 0
 	}
 	must.True(t, bootstraps(0, true))
 	must.False(t, bootstraps(6*time.Second, true)) // another node has bootstrapped the core
@@ -531,7 +531,7 @@
 		}
 		for sim.now < 20*time.Second {
 			sim.step()
-			must.LessEq(t, 1, sim.majorities(), must.Sprintf("partitioned at %v: %v", partitionedAt, sim.bootstrappers))
+			must.LessEq(t, 1, sim.majorityCount(), must.Sprintf("partitioned at %v: %v", partitionedAt, sim.bootstrappers))
 		}
 	}
 }
@@ -540,7 +540,7 @@
 // a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A hello still names a node
 // without a slot, because that node is not in the log.
 func TestHellosOmitSlotHolders(t *testing.T) {
-	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: clusterIDOf}, 0)
+	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: testClusterID}, 0)
 	var holders []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
@@ -561,7 +561,7 @@
 // the link themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials
 // were added to the 300 dials of the others.
 func TestSlotHoldersDialFirst(t *testing.T) {
-	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: clusterIDOf}, 0)
+	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: testClusterID}, 0)
 	var holders []SlotHolder
 	for i := range 300 {
 		addr := fmt.Sprint("node-", i)
@@ -569,18 +569,18 @@
 	}
 	r.SetSlots(holders)
 	r.Tick(300 * ms)
-	must.Eq(t, 0, count(drain(r), Connect, "node-7"))
+	must.Eq(t, 0, countActions(takeActions(r), Connect, "node-7"))
 	r.FrameReceived("node-7")
 	r.HandleHello("node-8", Hello{Node: Node{Addr: "node-8"}})
-	actions := drain(r)
-	must.Eq(t, 1, count(actions, Connect, "node-7"))
-	must.Eq(t, 1, count(actions, Connect, "node-8"))
-	must.Eq(t, 0, count(actions, Connect, "node-9"))
+	actions := takeActions(r)
+	must.Eq(t, 1, countActions(actions, Connect, "node-7"))
+	must.Eq(t, 1, countActions(actions, Connect, "node-8"))
+	must.Eq(t, 0, countActions(actions, Connect, "node-9"))
 	for at := 400 * ms; at <= passiveDialDelay+refreshInterval; at += refreshInterval {
 		r.Tick(at)
-		actions = append(actions, drain(r)...)
+		actions = append(actions, takeActions(r)...)
 	}
-	must.Eq(t, 1, count(actions, Connect, "node-9"))
-	must.Eq(t, 1, count(actions, Connect, "node-7"))
-	must.Eq(t, 0, count(actions, Disconnect, "node-7"))
+	must.Eq(t, 1, countActions(actions, Connect, "node-9"))
+	must.Eq(t, 1, countActions(actions, Connect, "node-7"))
+	must.Eq(t, 0, countActions(actions, Disconnect, "node-7"))
 }
--- a/internal/gateway/statemachine/entry.go
+++ b/internal/gateway/statemachine/entry.go
@@ -22,11 +22,11 @@
 
 // EncodeAssignSlotEntry returns the entry by which a node requests a slot, or updates the record of the slot that it has.
 func EncodeAssignSlotEntry(holder membership.SlotHolder) []byte {
-	return EncodeEntry(KindAssignSlot, logentry.Encode(storeSlot(holder)))
+	return EncodeEntry(KindAssignSlot, logentry.Encode(toStoredSlot(holder)))
 }
 
 // EncodeBootstrapGroupsBody returns the body of the entry that bootstraps the coordination groups. Every group starts on all of the
 // given disks.
 func EncodeBootstrapGroupsBody(founders []membership.Founder) []byte {
-	return logentry.Encode(storeFounders(founders))
+	return logentry.Encode(toStoredFounders(founders))
 }
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -22,6 +22,6 @@
 	if len(m.founders) > 0 {
 		return routing.Duplicate, nil
 	}
-	m.founders = foundersOf(stored)
+	m.founders = fromStoredFounders(stored)
 	return routing.Accepted, nil
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -21,7 +21,7 @@
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
 // configKind returns the routing.Kind of a kind that routing.Register implements, and false for all other kinds.
-func configKind(kind Kind) (routing.Kind, bool) {
+func routingKind(kind Kind) (routing.Kind, bool) {
 	switch kind {
 	case KindReplaceConfig:
 		return routing.Replace, true
@@ -34,9 +34,9 @@
 // Decide returns the result that Apply would return now. It accepts every entry of a kind that only Apply decides.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
-		return withRolloutEntry(body, m.Rollouts.Decide)
+		return handleRolloutEntry(body, m.Rollouts.Decide)
 	}
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Decide(config, body)
 	}
 	return routing.Accepted, nil
@@ -45,19 +45,19 @@
 // DecideFinal returns the same as Decide, and also reports whether the result is the same in every later state. If it is, a node
 // may answer with it even though its own state is stale.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Final(config, body)
 	}
 	if kind != KindRollout {
 		return routing.Accepted, nil, false
 	}
-	result, err = withRolloutEntry(body, m.decideRolloutFinal)
+	result, err = handleRolloutEntry(body, m.finalRolloutResult)
 	return result, err, result != routing.Accepted
 }
 
 // decideRolloutFinal returns the result for an entry of a roll-out if no later entry can change that result, and otherwise
 // Accepted.
-func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
+func (m *Machine) finalRolloutResult(e *rollout.Entry) (routing.Result, error) {
 	if m.Rollouts.CallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
@@ -68,7 +68,7 @@
 }
 
 // withRolloutEntry decodes an entry of a roll-out and passes it to handle. It returns Invalid if the entry cannot be decoded.
-func withRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
+func handleRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -82,12 +82,12 @@
 		return routing.Invalid, ErrEmptyEntry
 	}
 	kind, body := Kind(entry[0]), entry[1:]
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Apply(config, body)
 	}
 	switch kind {
 	case KindRollout:
-		return withRolloutEntry(body, m.Rollouts.Apply)
+		return handleRolloutEntry(body, m.Rollouts.Apply)
 	case KindBootstrapGroups:
 		return m.bootstrapGroups(body)
 	case KindAssignSlot:
@@ -100,9 +100,9 @@
 func (m *Machine) Snapshot() []byte {
 	return logentry.Encode(storedState{
 		Bills:    m.Configs.Snapshot(),
-		Seats:    storeSlots(m.slots),
+		Seats:    toStoredSlots(m.slots),
 		Rollouts: m.Rollouts.Snapshot(),
-		Founders: storeFounders(m.founders),
+		Founders: toStoredFounders(m.founders),
 	})
 }
 
@@ -120,5 +120,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "restore roll-outs")
 	}
-	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotsOf(stored.Seats), founders: foundersOf(stored.Founders)}, nil
+	return &Machine{Configs: configs, Rollouts: rollouts, slots: fromStoredSlots(stored.Seats), founders: fromStoredFounders(stored.Founders)}, nil
 }
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -14,33 +14,33 @@
 	"clovergap/internal/gateway/routing"
 )
 
-func config(generation, parent int) []byte {
+func configBody(generation, parent int) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"services":[{"name":"s"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/","variant":"pure","target":"s"}]}]}`, generation, parent)
 }
 
-func slotHolder(name string) membership.SlotHolder {
+func testSlotHolder(name string) membership.SlotHolder {
 	return membership.SlotHolder{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
 }
 
 // allEntryKinds returns a short log that contains every kind of entry, including duplicate, conflicting and invalid ones.
-func allEntryKinds() [][]byte {
-	again := slotHolder("b")
+func entriesOfAllKinds() [][]byte {
+	again := testSlotHolder("b")
 	again.Name = "b2"
-	return [][]byte{EncodeAssignSlotEntry(slotHolder("b")), EncodeEntry(KindReplaceConfig, config(3, 0)), EncodeAssignSlotEntry(slotHolder("a")), EncodeEntry(KindReplaceConfig, config(4, 0)),
-		EncodeEntry(KindReplaceConfig, config(3, 0)), EncodeAssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
+	return [][]byte{EncodeAssignSlotEntry(testSlotHolder("b")), EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(testSlotHolder("a")), EncodeEntry(KindReplaceConfig, configBody(4, 0)),
+		EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
 		EncodeEntry(KindAmendConfig, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
-		EncodeEntry(KindReplaceConfig, []byte("{")), EncodeAssignSlotEntry(slotHolder("c")), EncodeEntry(KindReplaceConfig, config(9, 5)),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
-		rolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, FencingToken: 5}), EncodeEntry(KindRollout, []byte("{")),
-		rolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, FencingToken: 5, Reason: "bad"})}
+		EncodeEntry(KindReplaceConfig, []byte("{")), EncodeAssignSlotEntry(testSlotHolder("c")), EncodeEntry(KindReplaceConfig, configBody(9, 5)),
+		encodeRolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		encodeRolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
+		encodeRolloutEntry(rollout.Entry{Verb: rollout.Advance, Number: 1, Step: 2, FencingToken: 5}), EncodeEntry(KindRollout, []byte("{")),
+		encodeRolloutEntry(rollout.Entry{Verb: rollout.Rollback, Number: 1, Step: 1, FencingToken: 5, Reason: "bad"})}
 }
 
 var testRollout = &rollout.Spec{Service: "s", Old: "v1", New: "v2", Steps: []rollout.Step{{Share: 100,
 	MinTime: rollout.Duration(time.Second)}}}
 
-func rolloutEntry(e rollout.Entry) []byte {
+func encodeRolloutEntry(e rollout.Entry) []byte {
 	e.Service, e.Capacity = "s", rollout.Capacity{Baseline: 9, Canary: 9, PeakInUse: 5}
 	return EncodeEntry(KindRollout, e.Encode())
 }
@@ -52,7 +52,7 @@
 	accepted, duplicate, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
 	for i, want := range []routing.Result{accepted, accepted, accepted, conflict, duplicate, duplicate, invalid, invalid, invalid,
 		accepted, invalid, accepted, accepted, accepted, duplicate, conflict, invalid, accepted} {
-		e, before := allEntryKinds()[i], s.Snapshot()
+		e, before := entriesOfAllKinds()[i], s.Snapshot()
 		// Decide gives the same result as Apply.
 		if len(e) > 0 && e[0] != byte(KindAssignSlot) && e[0] != 'z' {
 			v, _ := s.Decide(Kind(e[0]), e[1:])
@@ -65,14 +65,14 @@
 			must.Eq(t, before, s.Snapshot())
 		}
 	}
-	b := slotHolder("b")
+	b := testSlotHolder("b")
 	b.Name = "b2"
-	must.Eq(t, []membership.SlotHolder{b, slotHolder("a"), slotHolder("c")}, s.SlotHolders())
+	must.Eq(t, []membership.SlotHolder{b, testSlotHolder("a"), testSlotHolder("c")}, s.SlotHolders())
 	must.Eq(t, 9, s.Configs.Version())
-	must.Eq(t, config(9, 5), s.Configs.Body()) // a roll-out does not change the configuration
+	must.Eq(t, configBody(9, 5), s.Configs.Body()) // a roll-out does not change the configuration
 	must.Eq(t, rollout.RolledBack, s.Rollouts.Run("s").Phase)
 	for i := range maxSlots { // the number of slots is bounded
-		s.Apply(EncodeAssignSlotEntry(slotHolder(fmt.Sprint(i))))
+		s.Apply(EncodeAssignSlotEntry(testSlotHolder(fmt.Sprint(i))))
 	}
 	must.Len(t, maxSlots, s.SlotHolders())
 }
@@ -80,7 +80,7 @@
 // Guards against a snapshot that loses state. A machine that is restored from a snapshot taken after any entry, and then applies
 // the rest, reaches the same state as one that applied all entries.
 func TestRestoreAfterAnyEntry(t *testing.T) {
-	entries := allEntryKinds()
+	entries := entriesOfAllKinds()
 	complete := New()
 	var snapshots [][]byte
 	for _, e := range entries {
@@ -96,7 +96,7 @@
 		}
 		must.Eq(t, complete.Snapshot(), s.Snapshot(), must.Sprint(i))
 		must.Eq(t, complete.SlotHolders(), s.SlotHolders())
-		v, _ := s.Decide(KindReplaceConfig, config(3, 0)) // an accepted change is recognized by its bytes
+		v, _ := s.Decide(KindReplaceConfig, configBody(3, 0)) // an accepted change is recognized by its bytes
 		must.Eq(t, routing.Duplicate, v)
 	}
 	var older bytes.Buffer // the snapshot of a version that knew no roll-outs
@@ -108,7 +108,7 @@
 	must.NoError(t, err)
 	must.Eq(t, complete.Configs.Snapshot(), s.Configs.Snapshot())
 	must.False(t, s.Rollouts.HasRollouts())
-	v, _ := s.Apply(rolloutEntry(rollout.Entry{Verb: rollout.Start, Spec: testRollout}))
+	v, _ := s.Apply(encodeRolloutEntry(rollout.Entry{Verb: rollout.Start, Spec: testRollout}))
 	must.Eq(t, routing.Accepted, v)
 	for _, bad := range [][]byte{nil, []byte("x"), snapshots[3][:len(snapshots[3])/2]} {
 		_, err := Restore(bad)
--- a/internal/gateway/statemachine/process_test.go
+++ b/internal/gateway/statemachine/process_test.go
@@ -24,7 +24,7 @@
 func TestSnapshotBytesEqualAcrossProcesses(t *testing.T) {
 	applyLog := func() string {
 		s := New()
-		for _, e := range allEntryKinds() {
+		for _, e := range entriesOfAllKinds() {
 			s.Apply(e)
 		}
 		return fmt.Sprintf("snapshot %x\n", crc64.Checksum(s.Snapshot(), crc64.MakeTable(crc64.ECMA)))
--- a/internal/gateway/statemachine/slots.go
+++ b/internal/gateway/statemachine/slots.go
@@ -20,7 +20,7 @@
 	if err := logentry.Decode(body, &stored, "read slot entry"); err != nil {
 		return routing.Invalid, err
 	}
-	holder := stored.slot()
+	holder := stored.slotHolder()
 	for i, other := range m.slots {
 		if other.Addr == holder.Addr {
 			m.slots[i] = holder
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -23,38 +23,38 @@
 // version.
 func init() { New().Snapshot() }
 
-func storeSlot(holder membership.SlotHolder) storedSlot {
+func toStoredSlot(holder membership.SlotHolder) storedSlot {
 	return storedSlot{Name: holder.Name, Addr: holder.Addr, Control: holder.Control, Zone: holder.Zone}
 }
 
-func (s storedSlot) slot() membership.SlotHolder {
+func (s storedSlot) slotHolder() membership.SlotHolder {
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
 // storeSlots returns nil for an empty list, and so do slotsOf, storeFounders and foundersOf. Gob omits both nil and empty lists,
 // but a restored state must equal its original.
-func storeSlots(holders []membership.SlotHolder) (stored []storedSlot) {
+func toStoredSlots(holders []membership.SlotHolder) (stored []storedSlot) {
 	for _, holder := range holders {
-		stored = append(stored, storeSlot(holder))
+		stored = append(stored, toStoredSlot(holder))
 	}
 	return stored
 }
 
-func slotsOf(stored []storedSlot) (holders []membership.SlotHolder) {
+func fromStoredSlots(stored []storedSlot) (holders []membership.SlotHolder) {
 	for _, s := range stored {
-		holders = append(holders, s.slot())
+		holders = append(holders, s.slotHolder())
 	}
 	return holders
 }
 
-func storeFounders(founders []membership.Founder) (stored []storedFounder) {
+func toStoredFounders(founders []membership.Founder) (stored []storedFounder) {
 	for _, founder := range founders {
 		stored = append(stored, storedFounder{Disk: founder.Disk, Addr: founder.Addr})
 	}
 	return stored
 }
 
-func foundersOf(stored []storedFounder) (founders []membership.Founder) {
+func fromStoredFounders(stored []storedFounder) (founders []membership.Founder) {
 	for _, founder := range stored {
 		founders = append(founders, membership.Founder{Disk: founder.Disk, Addr: founder.Addr})
 	}
