--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -9,7 +9,7 @@
 	"clovergap/control"
 )
 
-// requestStep is one event in the life of a request.
+// requestStep is an event during the processing of a request.
 type requestStep int
 
 const (
@@ -19,16 +19,14 @@
 	stepConnectionLost                        // the connection is lost after a byte was written
 	stepUnresponsive                          // the backend does not answer until it counts as dead
 	stepProcessPause                          // this node is paused for a second
-	stepMaxAttemptsLowered                    // a configuration lowers the route's max_tries to one
-	stepAllDraining                           // all backends drain for a moment, so that the request may wait in the queue
+	stepMaxAttemptsLowered                    // LowerMaxAttempts lowers the route's maximum to one attempt
+	stepAllDraining                           // all backends drain and are ready again, so that the request may wait in the queue
 	stepCount
 )
 
-// Guards against a request that runs on more backends than its route allows. The test plays all sequences of four steps. A step is an end of a
-// submission, a backend that does not answer, a pause of the process, a configuration that lowers max_tries to one, or a short time without a ready
-// backend. A request may run on as many backends as its route allowed when the request arrived. Once max_tries is lowered to one, a request that
-// has run is not retried. Before LowerMaxAttempts existed, the route's max_tries at the arrival of a request remained in force until the request
-// ended.
+// Guards against a request that runs on more backends than its route allows. The test runs all sequences of four steps, see requestStep. A request may
+// run on as many backends as its route allowed at the arrival of the request. Once the maximum (max_tries in the configuration) is lowered to one, a
+// request that may have run is not retried. Before LowerMaxAttempts existed, the maximum at the arrival remained in force until the request ended.
 func TestRequestStaysWithinMaxAttemptsInAnyOrderOfEvents(t *testing.T) {
 	const depth = 4
 	sequences := 1
@@ -47,22 +45,22 @@
 				currentStep := requestStep(remaining % int(stepCount))
 				if currentStep == stepMaxAttemptsLowered && maxRan == maxAttempts {
 					maxRan = max(len(ran), 1)
-					if request := h.txns[1]; request.inFlight && !ran[request.lastBackend] && len(ran) > 0 { // in flight already
+					if request := h.txns[1]; request.inFlight && !ran[request.lastBackend] && len(ran) > 0 { // the submission in flight may still run
 						maxRan++
 					}
 				}
 				h.playStep(currentStep, ran)
-				must.LessEq(t, maxRan, len(ran), must.Sprintf("max attempts %d, sequence %o", maxAttempts, sequence))
+				must.LessEq(t, maxRan, len(ran), must.Sprintf("max attempts %d, sequence %o (octal, lowest digit: first step)", maxAttempts, sequence))
 			}
 			if len(ran) > 1 {
 				retriedSequences++
 			}
 		}
-		must.Eq(t, maxAttempts > 1, retriedSequences > 0) // some sequences did retry
+		must.Eq(t, maxAttempts > 1, retriedSequences > 0) // retries occur in some sequences
 	}
 }
 
-// playStep plays one step. It adds the backends that may have run the request to ran.
+// playStep performs a step of request 1. It adds the backends that may have run the request to ran.
 func (h *harness) playStep(step requestStep, ran map[control.BackendID]bool) {
 	inFlight := h.txns[1].inFlight
 	backend := h.txns[1].lastBackend
@@ -90,7 +88,7 @@
 			switch {
 			case consequenceOf(ending, false, false).mayHaveRun:
 				ran[backend] = true
-			case ran[backend]: // it was unresponsive, so it may have run the request and cannot deny that any more
+			case ran[backend]: // the backend was unresponsive and may have run the request, so no ending may claim otherwise
 				return
 			}
 			h.SubmissionEnded(1, h.txns[1].submissions-1, backend, ending, false, 50*time.Millisecond, nil)
@@ -99,8 +97,8 @@
 	h.takeDecisions()
 }
 
-// Guards against a retry that is sent from the queue after the number of attempts of its route was lowered to one. Such a submission is not permitted,
-// and debug builds stopped at it.
+// Guards against a retry that is sent from the queue after the maximum number of attempts of its route was lowered to one. Such a submission violates
+// an invariant, at which debug builds stopped.
 func TestQueuedRetryIsDroppedWhenMaxAttemptsIsLowered(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	h.sendRequest(1)
--- a/internal/gateway/admission/bench_test.go
+++ b/internal/gateway/admission/bench_test.go
@@ -13,8 +13,7 @@
 )
 
 // BenchmarkRoutedRequest measures the decisions for one request: looking up its route and tenant, admitting it with units of its tenant's quota,
-// choosing its backend and recording its answer. It does not measure HTTP and the event loop. It does not measure the lookup of the route's product
-// ID either, which is in package node.
+// choosing its backend and recording its answer. It does not measure HTTP, the event loop and the lookup of the route's product ID in package node.
 func BenchmarkRoutedRequest(b *testing.B) {
 	const hosts, backends = 20, 12
 	config := &routing.Config{Generation: 1}
--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Each retry uses one token. A token expires after one window (Config.RetryWindow) at the latest. So a retry in any window uses a token that was
-// deposited in that window or in the window before. Over all nodes, the retries of a window are at most
+// Each retry after an attempt uses one token. A token expires one window (Config.RetryWindow) after its deposit at the latest. So a retry in any
+// window uses a token that was deposited in that window or in the window before it. Over all nodes, the number of retries in a window is at most
 // 2 x depositShare x ratio x (requests in the window with more requests of the two) + 2 x refillShare x allowance. ratio is Config.RetryRatio and
-// allowance is Config.RetryAllowance. The nodes keep this bound without any messages. A restarted node begins without tokens, so it stays below
-// the bound.
+// allowance is Config.RetryAllowance. The nodes keep this bound without exchanging messages. A node starts without tokens, so that a restart does
+// not exceed the bound.
 const (
-	// depositShare is the share of the configured ratio that each request deposits.
+	// depositShare is the share of Config.RetryRatio that each request deposits, in tokens, at its first submission.
 	depositShare = 0.5
-	// refillShare is the share of a node's part of the configured allowance that is deposited over a window.
+	// refillShare is the share of a node's part of Config.RetryAllowance that is deposited over a window.
 	refillShare = 0.4
-	// windowSlices is the number of slices of a window by which the age of tokens is known.
+	// windowSlices is the number of slices into which a window is divided. Tokens are counted by the slice in which they were deposited.
 	windowSlices = 10
 )
 
 // retryBudget holds the tokens for retries at one service.
 type retryBudget struct {
 	window    time.Duration
-	tokens    [windowSlices]float64 // by the slice in which they were deposited
+	tokens    [windowSlices]float64 // by slice number modulo windowSlices
 	slice     int64                 // number of the present slice
 	updatedAt time.Duration
 }
 
+// newRetryBudget returns a budget without tokens.
 func newRetryBudget(window, now time.Duration) *retryBudget {
 	return &retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
 }
 
-// advance sets the time of the budget to now. It deposits the refill for the time that has passed and drops tokens older than a window. refill is in
-// tokens per window.
+// advance deposits the refill for the time since the last call and removes tokens older than a window. refill is the number of tokens per window.
 func (r *retryBudget) advance(now time.Duration, refill float64) {
 	sliceLength := r.window / windowSlices
 	for end := time.Duration(r.slice+1) * sliceLength; now >= end; end += sliceLength {
@@ -47,10 +47,10 @@
 	r.updatedAt = now
 }
 
-// deposit adds tokens.
+// depositTokens adds tokens to the present slice.
 func (r *retryBudget) depositTokens(tokens float64) { r.tokens[r.slice%windowSlices] += tokens }
 
-// available returns the number of tokens.
+// availableTokens returns the number of tokens that have not expired.
 func (r *retryBudget) availableTokens() (sum float64) {
 	for _, n := range r.tokens {
 		sum += n
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// withdraw takes one token, the oldest first. It returns false if there is less than one token.
+// withdrawToken removes one token in total, from the oldest slices first. It returns false if there is less than one token.
 func (r *retryBudget) withdrawToken() bool {
 	if r.availableTokens() < 1 {
 		return false
--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -9,36 +9,37 @@
 )
 
 // During a roll-out a service has two versions. Each version has its own queue, balancer and typical latencies. Both versions share one retry
-// budget. Routes name the baseline version. CanaryAccess and, for each user, the Assigner determine which requests go to the canary.
+// budget. The targets of routes are baseline versions. CanaryAccess and the Assigner determine which requests go to the canary.
 
 // CanaryAccess says which requests may go to a canary.
 type CanaryAccess uint8
 
 // The values of CanaryAccess.
 const (
-	CanaryClosed   CanaryAccess = iota // none, even if the baseline version has no backend
+	CanaryClosed   CanaryAccess = iota // no requests, even if the baseline version has no backend
 	CanaryFallback                     // requests for which the baseline version has no backend
-	CanaryShared                       // requests that the Assigner sends there
+	CanaryShared                       // requests that the Assigner assigns to the canary
 )
 
-// Assigner chooses the version at which a request begins. It receives the ends of the first submissions by which the versions are compared.
+// Assigner chooses the version for a request's first submission. It also receives the samples by which the two versions are compared.
 type Assigner interface {
 	Assign(id control.TxnID, kind control.ProductID, service control.ServiceID) Assignment
 	SubmissionEnded(c ComparisonSample)
 }
 
-// Assignment says where a request begins. The zero value stands for the baseline version, outside the comparison.
+// Assignment says to which version a request's first submission goes. The zero value means the baseline version, and that the request is not a
+// sample of the comparison.
 type Assignment struct {
-	Number       rollout.Number
-	Side         rollout.Side
-	InComparison bool // the request's first submission is a sample of the comparison
-	Tenant       uint32
+	Number       rollout.Number // number of the roll-out
+	Side         rollout.Side   // the assigned version
+	InComparison bool           // the request's first submission is a sample of the comparison
+	Tenant       uint32         // number of the tenant, the same at every node
 }
 
 // mayUseCanary reports whether a request with this assignment may be sent to the canary.
 func (a Assignment) mayUseCanary() bool { return rollout.MayAttempt(a.Side, rollout.Canary) }
 
-// ComparisonSample is the end of a first submission by which the versions are compared.
+// ComparisonSample describes the end of a request's first submission. The two versions are compared by these samples.
 type ComparisonSample struct {
 	Assignment
 	Service   control.ServiceID // ID of the baseline version
@@ -46,16 +47,16 @@
 	Effectful bool
 	Backend   control.BackendID
 	Ending    control.Ending
-	Took      time.Duration
-	WarmingUp bool // Took says nothing about the version: the backend was warming up, or this process was paused
+	Took      time.Duration // duration of the submission
+	WarmingUp bool          // Took must not be compared: the backend was warming up, or this process was paused
 }
 
 // SetAssigner sets the assigner. The controller does not call the assigner while there is no roll-out.
 func (c *Controller) SetAssigner(a Assigner) { c.assigner = a }
 
-// SetRollout adds a canary, which has its own service ID, to a service and sets which requests may go to the canary. Unless access is
-// CanaryShared, the version is chosen again for each request in the canary's queue. A request that may not use the canary then moves to the
-// baseline version. Submissions in flight at the canary continue there until they end.
+// SetRollout adds a canary, which has its own service ID, to a service and sets which requests may go to the canary. If access is not CanaryShared,
+// the version is chosen again for each request in the canary's queue, and a request that may not use the canary moves to the baseline version.
+// Submissions in flight at the canary continue there until they end.
 func (c *Controller) SetRollout(baseline, canary control.ServiceID, access CanaryAccess) {
 	baselineService, canaryService := c.getOrCreateService(baseline), c.getOrCreateService(canary)
 	if canaryService.baseline == nil {
@@ -102,12 +103,12 @@
 	}
 	t.versionChosen = true
 	if target == baseline && t.submissions == 0 && t.assignment.Side == rollout.Canary {
-		t.assignment = Assignment{} // no backend of the canary is ready, which says nothing about its quality
+		t.assignment = Assignment{} // the canary has no ready backend, so the request is not a sample of its quality
 	}
 	c.moveToVersion(t, target)
 }
 
-// moveTo changes the version at which a request is counted.
+// moveToVersion changes the version to which a request goes.
 func (c *Controller) moveToVersion(t *txn, to *service) {
 	if t.service != to {
 		t.service.txnCount--
@@ -116,9 +117,10 @@
 	}
 }
 
-// fallBackToBaseline moves a request from a canary's queue to the baseline version when the time for which it may wait in the queue has ended. It
-// concerns only requests that were never sent to a backend. At the baseline version the request is sent at once or rejected. The canary may be
-// short of capacity, but the baseline version is not expected to be. fallBackToBaseline returns false if the request cannot be moved.
+// fallBackToBaseline moves a request from a canary's queue to the queue of the baseline version. It is called when the time for which the request may
+// wait in the canary's queue has ended. The canary may lack capacity, but the baseline version is not expected to. At the baseline version the
+// request is sent at once or rejected. fallBackToBaseline returns false if the request was sent before or if the baseline version has no ready
+// backend.
 func (c *Controller) fallBackToBaseline(t *txn) bool {
 	baseline := t.service.baseline
 	if baseline == nil || t.submissions > 0 || baseline.balancer.ReadyCount() == 0 {
@@ -131,9 +133,9 @@
 	return true
 }
 
-// reportComparisonSample reports the end of a first submission that is a sample for the comparison of the two versions. Ends that this node
-// caused itself are left out, since they say nothing about the version. A submission counts as timed out if it was canceled because its backend
-// was dead, or if it was canceled because its client left and it had run for at least the latency target.
+// reportComparisonSample reports the end of a first submission that is a sample for the comparison of the two versions. It reports no end that this
+// node caused itself, because such an end says nothing about the version. Two kinds of canceled submissions count as timed out: those canceled
+// because the backend was dead, and those canceled because the client left after at least the latency target.
 func (c *Controller) reportComparisonSample(t *txn, ending control.Ending, took time.Duration) {
 	processPaused := t.sentAt < c.pausedUntil
 	target := t.route.LatencyTarget
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// oddAssigner assigns requests with odd IDs to the canary.
+// oddAssigner assigns requests with odd IDs to the canary and records all samples.
 type oddAssigner struct{ samples []ComparisonSample }
 
 func (o *oddAssigner) Assign(id control.TxnID, _ control.ProductID, service control.ServiceID) Assignment {
@@ -21,6 +21,7 @@
 
 const firstCanaryBackend = 11 // backends with this ID or a higher one belong to the canary
 
+// newCanaryHarness returns a harness whose service 1 has service 2 as its canary, with CanaryShared.
 func newCanaryHarness(route Route, baselineBackends, canaryBackends int) (*harness, *oddAssigner) {
 	h, assigner := newHarness(route, baselineBackends), &oddAssigner{}
 	h.SetAssigner(assigner)
@@ -29,21 +30,24 @@
 	return h, assigner
 }
 
+// setCanaryBackends sets the state of the first n backends of the canary.
 func (h *harness) setCanaryBackends(state control.BackendState, n int) {
 	for i := range n {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstCanaryBackend + i), State: state, Capacity: 4, Service: 2}})
 	}
 }
 
+// lastSubmissionIsAtCanary reports whether the last decision submits a request to the canary. The test fails if the last decision submits no request.
+// what describes the submission in the message.
 func (h *harness) lastSubmissionIsAtCanary(what string) bool {
 	h.t.Helper()
 	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(what))
 	return h.lastDecision().Backend >= firstCanaryBackend
 }
 
-// Checks to which version submissions go. A first submission goes to the version to which its user is assigned. A retry goes to the baseline
-// version. If the baseline version has no backend, a retry of a request that began at the canary goes to the canary. A request never goes from the
-// baseline version to the canary. Only first submissions are reported to the assigner.
+// Guards against submissions to the wrong version. A first submission goes to the assigned version. A retry goes to the baseline version. If the
+// baseline version has no backend, the retry of a request that was assigned to the canary goes to the canary. A request never moves from the baseline
+// version to the canary. Only first submissions are reported to the assigner.
 func TestCanaryRequestsMayRetryAtBaselineButNotTheReverse(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 3)
 	h.t = t
@@ -58,8 +62,8 @@
 	must.False(t, h.lastSubmissionIsAtCanary("retry of a baseline request"))
 	h.endLastSubmission(control.Succeeded, true)
 	must.SliceLen(t, 2, assigner.samples)
-	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend, Ending: control.Errored,
-		Took: 50 * time.Millisecond}, assigner.samples[0])
+	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend,
+		Ending: control.Errored, Took: 50 * time.Millisecond}, assigner.samples[0])
 	must.Eq(t, rollout.Baseline, assigner.samples[1].Side)
 
 	h.setBackends(control.Gone, 1, 3)
@@ -82,11 +86,11 @@
 	must.Eq(t, control.Fail, h.lastDecision().Action)
 }
 
-// Checks that a rollback moves the requests in the canary's queue to the baseline version. Submissions in flight end at the canary. If
-// such a submission did not run, its request is retried at the baseline version.
+// Guards against requests that remain at a canary after a rollback. A rollback moves the requests in the canary's queue to the baseline version.
+// Submissions in flight end at the canary. If a request did not run in such a submission, it is retried at the baseline version.
 func TestRollbackMovesCanaryRequestsToBaseline(t *testing.T) {
 	h, assigner := newCanaryHarness(effectfulRoute, 5, 1)
-	defer func() { must.SliceLen(t, 1, assigner.samples) }() // the submission that ended at the canary
+	defer func() { must.SliceLen(t, 1, assigner.samples) }() // only the submission that ended at the canary is a sample
 	h.t = t
 	id := control.TxnID(1)
 	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
@@ -114,7 +118,8 @@
 	must.True(t, h.lastSubmissionIsAtCanary("new request with the canary as fallback"))
 }
 
-// Checks that a request which waits in vain for a canary without capacity goes to the baseline version instead of being rejected.
+// Guards against the rejection of requests for lack of capacity at the canary. A request whose wait in the canary's queue ends must go to the baseline
+// version.
 func TestRequestMovesToBaselineWhenCanaryLacksCapacity(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 1)
 	h.t = t
@@ -126,11 +131,11 @@
 	must.Eq(t, id, h.lastDecision().Txn)
 	must.False(t, h.lastSubmissionIsAtCanary("request that waited for the canary"))
 	h.endLastSubmission(control.Errored, false)
-	must.SliceEmpty(t, assigner.samples) // the request did not end at the version that it was assigned to
+	must.SliceEmpty(t, assigner.samples) // the request did not end at its assigned version
 }
 
-// Checks under random events that no request of the baseline version is sent to the canary, that a closed canary gets nothing, and that both
-// versions share one retry budget.
+// Guards against requests at the canary that may not go there. Under random events, no request that is assigned to the baseline version is sent to the
+// canary, a closed canary gets no requests, and both versions share one retry budget.
 func TestBaselineRequestsNeverReachCanary(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -165,7 +170,8 @@
 					continue
 				}
 				toCanary := decision.Backend >= firstCanaryBackend
-				must.False(t, toCanary && (decision.Txn%2 == 0 || access == CanaryClosed), must.Sprint(seed, " ", decision))
+				must.False(t, toCanary && (decision.Txn%2 == 0 || access == CanaryClosed),
+					must.Sprint(seed, " is the seed of the run with the decision ", decision))
 				sent[toCanary]++
 				inFlight[decision.Txn] = decision
 				submissions[decision.Txn]++
--- a/internal/gateway/admission/client_left_test.go
+++ b/internal/gateway/admission/client_left_test.go
@@ -9,7 +9,7 @@
 	"clovergap/control"
 )
 
-// cancellations returns the number of canceled submissions.
+// cancellationCount returns the number of decisions that cancel a submission.
 func (h *harness) cancellationCount() (n int) {
 	for _, decision := range h.decided {
 		if decision.Action == control.Cancel {
@@ -28,6 +28,7 @@
 	t.Run("while the request is queued", testClientLeavesWhileQueued)
 }
 
+// A first submission in flight is canceled if its request is idempotent. The request is removed when the submission has ended.
 func testClientLeavesWhileInFlight(t *testing.T) {
 	for _, route := range []Route{idempotentRoute, effectfulRoute} {
 		for _, ending := range []control.Ending{control.Canceled, control.Succeeded, control.NotSent, control.Rejected, control.TimedOut} {
@@ -52,7 +53,7 @@
 	}
 }
 
-// A request is canceled once, also during its second submission, and not again if the submission was canceled before.
+// A second submission is canceled too. A submission is canceled only once, also if it was canceled before the client left.
 func testClientLeavesAfterRetry(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	h.sendRequest(1)
@@ -79,7 +80,7 @@
 	}
 }
 
-// A request that waits for a backend or for units is not sent once its client has left.
+// A request that waits for a backend is not sent once its client has left.
 func testClientLeavesWhileQueued(t *testing.T) {
 	h := newHarness(idempotentRoute, 0)
 	h.sendRequest(1)
--- a/internal/gateway/admission/consequence.go
+++ b/internal/gateway/admission/consequence.go
@@ -2,12 +2,12 @@
 
 import "clovergap/control"
 
-// consequence is what follows from the end of a submission.
+// consequence says how a request proceeds after the end of a submission.
 type consequence struct {
-	mayHaveRun     bool // the request may have run
-	mayHaveArrived bool // the request may have reached the backend, so the submission counts as an attempt
-	retryable      bool // the request may go to another backend, if attempts, time and budget allow
-	answer         finalAnswer
+	mayHaveRun     bool        // the request may have run
+	mayHaveArrived bool        // the request may have reached the backend, so the submission counts as an attempt
+	retryable      bool        // the request may go to another backend, if its attempts, its deadline and the retry budget allow
+	answer         finalAnswer // the answer if the request does not go to another backend
 }
 
 // finalAnswer is the answer to a request that is not sent again.
@@ -26,7 +26,7 @@
 	answerStarted bool // a part of an answer has gone to the client, or the client has left
 }
 
-// consequences is the only place that determines what follows from the end of a submission. A request that certainly did not run may go to another
+// consequences alone determines how a request proceeds after the end of a submission. A request that certainly did not run may go to another
 // backend, whether the request is effectful or idempotent. A request that may have run goes to another backend only if it is idempotent. Once a
 // part of an answer has gone to the client, the client gets no other answer. The host then closes the client's connection, so that the partial
 // answer does not look complete.
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -14,8 +14,9 @@
 // defaultRetryWindow is the window of the retry budget if none is configured.
 const defaultRetryWindow = 10 * time.Second
 
-// Limiter enforces the quotas of customers. *quota.Limiter implements it. A customer that is unknown to the Limiter is not limited. The creator of
-// the Limiter sets its limits and gateways. DatagramReceived reports whether requests that wait for units should be checked again.
+// Limiter enforces the quotas of tenants, which package quota calls customers. *quota.Limiter implements Limiter. A customer without a limit is not
+// limited. The creator of the Limiter sets the limits and the addresses of the other nodes. DatagramReceived reports whether requests that wait for
+// units should be checked again.
 type Limiter interface {
 	Now(now time.Duration)
 	Check(c control.CustomerID, r quota.Request) (quota.Outcome, time.Duration)
@@ -28,19 +29,20 @@
 	NextDeadline() time.Duration
 }
 
-// Config holds the settings of a node. Only Nodes may change while the node runs, see SetNodes.
+// Config holds the settings of a controller. Only Nodes may change after New, see SetNodes.
 type Config struct {
 	Zone control.ZoneID
-	// RetryRatio is the number of retries allowed per request, in any RetryWindow.
+	// RetryRatio is the number of retries allowed per request, in any period of length RetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration // 0 means 10 s
-	// RetryAllowance is the number of retries allowed in addition, over all nodes together.
+	// RetryAllowance is the number of retries allowed in addition, in any period of length RetryWindow and over all nodes together.
 	RetryAllowance float64
-	// Nodes is the number of nodes that share the allowance and the backends. It should rather be too high than too low.
+	// Nodes is the number of nodes that share the allowance and the backends. A number that is too high is safe. A number that is too low allows
+	// more retries than RetryAllowance.
 	Nodes int
 }
 
-// Controller makes the decisions of one node. It is not safe for concurrent use. All times are of the host's clock.
+// Controller makes the decisions of one node. It is not safe for concurrent use. All times are readings of the host's clock.
 type Controller struct {
 	config    Config
 	limiter   Limiter
@@ -61,9 +63,9 @@
 
 	txns          map[control.TxnID]*txn
 	timers        timerqueue.Queue[timer]
-	undecided     []*txn // requests to be decided next
-	awaitingUnits []*txn
-	recheckUnits  bool               // awaitingUnits are to be decided again
+	undecided     []*txn             // requests to pass to decide, in order
+	awaitingUnits []*txn             // requests that wait for units of their tenant's quota
+	recheckUnits  bool               // the requests in awaitingUnits are to be decided again
 	decisions     []control.Decision // made, but not yet returned by Next
 
 	counts   counts // events since the last summary
@@ -96,14 +98,15 @@
 // SetNodes sets the number of nodes that share the retry allowance and the backends.
 func (c *Controller) SetNodes(n int) {
 	for _, s := range c.services {
-		c.advanceBudget(s) // the former number applies until now
+		c.advanceBudget(s) // the previous number of nodes applies until now
 		s.balancer.SetNodes(n)
 	}
 	c.config.Nodes = max(n, 1)
 }
 
-// Now sets the clock, which never goes back. The controller has always requested a wake-up. So a call of Now that comes more than stallThreshold
-// after the requested time shows that this process was paused. Time-outs and missing responses during the pause do not count against the backends.
+// Now sets the current time. An earlier time than the last one is ignored. A wake-up is always requested. So if a call of Now comes more than
+// stallThreshold after the requested time, this process was paused. Time-outs and missing responses during the pause do not count against the
+// backends.
 func (c *Controller) Now(now time.Duration) {
 	if c.wakeAt > 0 && now-c.wakeAt > stallThreshold {
 		c.pausedUntil = now
@@ -115,19 +118,19 @@
 	c.limiter.Now(c.now)
 }
 
-// DatagramReceived passes a peer's datagram to the quota.
+// DatagramReceived passes a datagram of another node to the limiter.
 func (c *Controller) DatagramReceived(from control.GatewayID, payload []byte) {
 	c.recheckUnits = c.limiter.DatagramReceived(from, payload) || c.recheckUnits
 }
 
-// ProbeEnded does nothing, since this controller requests no probes.
+// ProbeEnded does nothing, because this controller requests no probes.
 func (c *Controller) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
 
-// Woken is called for a wake-up that was requested. It does nothing, since Next finds by the clock what is due.
+// Woken is called at a requested wake-up. It does nothing, because Next compares all timers with the current time.
 func (c *Controller) Woken(uint64) {}
 
-// Next returns the next decision, or false if there is none now. Timers fire before requests are sent. So after a pause of this process, a request
-// whose client no longer waits is not sent.
+// Next returns the next decision, or false if there is none now. Timers fire before requests are sent. So a request whose deadline has passed
+// during a pause of this process is not sent.
 func (c *Controller) Next() (control.Decision, bool) {
 	for {
 		if len(c.decisions) > 0 {
@@ -190,8 +193,8 @@
 	return sweepInterval
 }
 
-// periodicWork marks all waiting requests for another check, since backoffs of backends may have ended. Once per sweepInterval it removes services
-// that are no longer used.
+// periodicWork marks all waiting requests for another check, because backoffs of backends may have ended. Once per sweepInterval it removes
+// services that are no longer used. Once per logInterval it logs a summary if there were any events.
 func (c *Controller) periodicWork() {
 	c.recheckUnits = len(c.awaitingUnits) > 0
 	for _, s := range c.services {
@@ -211,7 +214,8 @@
 	}
 }
 
-// requestWakeUp requests a wake-up for the next timer or periodic work, unless an earlier request covers it.
+// requestWakeUp returns a decision that requests a wake-up for the next timer or the next periodic work. It returns false if a wake-up at that time
+// or earlier is already requested.
 func (c *Controller) requestWakeUp() (control.Decision, bool) {
 	next := min(c.periodicWorkAt+c.periodicWorkInterval(), max(c.limiter.NextDeadline(), c.now+minDatagramInterval))
 	if at, ok := c.timers.NextDeadline(); ok {
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -10,40 +10,42 @@
 	"clovergap/control/quota"
 )
 
-// unlimited returns a quota without limits.
+// newUnlimitedLimiter returns a limiter without limits.
 func newUnlimitedLimiter() *quota.Limiter {
 	return quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 }
 
-// harness is a controller whose host is played by the test.
+// harness is a controller together with a simulated host.
 type harness struct {
 	*Controller
-	t       *testing.T // set by tests that use sentToCanary
+	t       *testing.T // set by tests that use lastSubmissionIsAtCanary
 	now     time.Duration
-	decided []control.Decision // without wake-ups and log entries
+	decided []control.Decision // all decisions except wake-ups and log entries
 }
 
+// newHarness returns a harness with seed 1.
 func newHarness(route Route, backends int) *harness { return newSeededHarness(1, route, backends) }
 
-// newSeededHarness returns a harness with a route 1 to service 1 and ready backends with the IDs from 1 on.
+// newSeededHarness returns a harness with a route, whose product ID is 1, to service 1. The service has ready backends with the IDs 1 to backends.
 func newSeededHarness(seed int64, route Route, backends int) *harness {
 	h := &harness{Controller: New(seed, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2},
 		newUnlimitedLimiter(), 0)}
 	route.Targets = []Target{{1, 1}}
 	h.SetRoute(1, route)
 	h.setBackends(control.Ready, 1, backends)
-	h.advanceTo(30 * time.Second) // the retry budget is filled
+	h.advanceTo(30 * time.Second) // until the retry budget is filled
 	return h
 }
 
+// setBackends sets the state of the backends with the IDs from to to.
 func (h *harness) setBackends(state control.BackendState, from, to int) {
 	for i := from; i <= to; i++ {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(i), State: state, Capacity: 4, Service: 1}})
 	}
 }
 
-// advance advances the time in steps of 10 ms, as a host does that wakes the controller.
+// advanceTo advances the time to until, in steps of 10 ms, and takes the decisions after each step.
 func (h *harness) advanceTo(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
@@ -51,6 +53,7 @@
 	}
 }
 
+// takeDecisions appends all decisions that are due to decided.
 func (h *harness) takeDecisions() {
 	h.Now(h.now)
 	for decision, ok := h.Next(); ok; decision, ok = h.Next() {
@@ -60,12 +63,13 @@
 	}
 }
 
+// sendRequest lets a request with product ID 1 arrive and takes the decisions.
 func (h *harness) sendRequest(id control.TxnID) {
 	h.TxnArrived(control.Txn{ID: id, Product: 1, Units: 1, Expiry: h.now + 10*time.Second})
 	h.takeDecisions()
 }
 
-// endLastSubmission ends the last submission.
+// endLastSubmission reports the end of the submission in the last decision and takes the decisions that follow.
 func (h *harness) endLastSubmission(ending control.Ending, answered bool) {
 	decision := h.lastDecision()
 	h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, ending, answered, 50*time.Millisecond, nil)
@@ -77,8 +81,8 @@
 var idempotentRoute = Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 var effectfulRoute = Route{Effectful: true, LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 
-// Checks the table of consequences for each ending, and that the controller follows the table. Guards against an effectful request that is sent
-// again although it may have run. Guards also against a second answer to a client that has received a part of an answer.
+// Guards against an effectful request that is sent again although it may have run, and against a second answer to a client that has received a part
+// of an answer. Checks the table of consequences for each ending, and that the controller follows the table.
 func TestConsequenceOfEachEnding(t *testing.T) {
 	must.MapLen(t, 4*(int(control.NotSent)+1), consequences)
 	for key, want := range consequences {
@@ -88,7 +92,7 @@
 			must.Eq(t, noFurtherAnswer, want.answer)
 			must.False(t, want.retryable)
 		} else {
-			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject promises that the request has not run
+			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject guarantees that the request has not run
 			must.Eq(t, provesNotRun || !key.effectful, want.retryable)
 		}
 		// The controller follows the table, with one attempt left and with none.
@@ -118,7 +122,8 @@
 	}
 }
 
-// Checks that the retries of any window stay within the bound of the retry budget, whatever the load, and that a new budget is empty.
+// Guards against retries that multiply the load. The number of retries in any window must stay within the bound of the retry budget, whatever the
+// load is. A new budget must be empty.
 func TestRetryBudgetBoundsRetriesInEveryWindow(t *testing.T) {
 	const nodes, window = 4, 10 * time.Second
 	budgets := make([]retryBudget, nodes)
@@ -133,7 +138,7 @@
 				budgets[i].depositTokens(depositShare * 0.2)
 				firstSubmissions[s]++
 			}
-			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdrawToken(); { // withdrawn at once after some time without retries
+			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdrawToken(); { // all tokens are withdrawn after some time without retries
 				retries[s]++
 			}
 			if now == 66*time.Second {
@@ -154,11 +159,12 @@
 		must.LessEq(t, 0.2*requests+64, sum(retries, s))
 		allRetries += retries[s]
 	}
-	must.Greater(t, 100, allRetries) // the budget does allow retries
+	must.Greater(t, 100, allRetries) // the bound is not kept by allowing no retries
 }
 
-// Checks that the retry budget ends a storm of rejections, whatever the seed. The seed determines how many requests are sent before all backends
-// back off. Every submission counts, also those of requests that waited for a backend first.
+// Guards against retries that keep backends overloaded when all backends reject all requests. The number of retries must stay within the bound of the
+// retry budget, whatever the seed is. The seed determines how many requests are sent before no backend gets requests any more. Submissions of requests
+// that first waited for a backend count too.
 func TestRetryBudgetEndsStormOfRejections(t *testing.T) {
 	const seeds = 12
 	sentInAllRuns := 0
@@ -193,7 +199,8 @@
 	must.Greater(t, 50*seeds, sentInAllRuns)
 }
 
-// Checks that a request in flight fails at its deadline, is canceled at its backend, and is kept until its submission has ended.
+// Guards against a request that is not answered by its deadline. A request in flight fails at its deadline and is canceled at its backend. The
+// controller keeps the request until the submission has ended.
 func TestRequestFailsAtDeadlineAndIsCanceled(t *testing.T) {
 	h := newHarness(effectfulRoute, 1)
 	start := h.now
@@ -204,11 +211,12 @@
 	h.advanceTo(start + 1500*time.Millisecond)
 	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, h.decidedActions())
 	must.Eq(t, control.ReasonNoTime, h.decided[1].Reason)
-	must.MapLen(t, 1, h.txns) // the submission's end has not been reported yet
+	must.MapLen(t, 1, h.txns) // the end of the submission has not been reported yet
 	h.SubmissionEnded(1, 0, 1, control.Canceled, true, 1500*time.Millisecond, nil)
 	must.MapEmpty(t, h.txns)
 }
 
+// decidedActions returns the actions of all decisions, in order.
 func (h *harness) decidedActions() (all []control.Action) {
 	for _, decision := range h.decided {
 		all = append(all, decision.Action)
@@ -216,7 +224,7 @@
 	return all
 }
 
-// Checks that requests which expired during a process pause are not sent.
+// Guards against sending requests that expired during a pause of the process.
 func TestExpiredRequestsAreNotSentAfterProcessPause(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	h.TxnArrived(control.Txn{ID: 1, Product: 1, Expiry: h.now + 1500*time.Millisecond})
@@ -229,8 +237,8 @@
 	must.Eq(t, h.now, h.pausedUntil)
 }
 
-// Checks that requests wait in order of priority and for a bounded time while all backends are saturated. A draining backend gets no new requests,
-// and its requests in flight go on.
+// Guards against a queue that is not ordered by priority, and against requests that wait without a bound while all backends are saturated. A draining
+// backend gets no new requests, and its requests in flight continue.
 func TestQueueIsOrderedByPriorityAndBoundedInTime(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	lowPriorityRoute := idempotentRoute
@@ -243,7 +251,7 @@
 	h.TxnArrived(control.Txn{ID: 100, Product: 2, Expiry: h.now + time.Minute})
 	h.sendRequest(101)
 	h.decided = h.decided[:1]
-	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more
+	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more requests
 	h.takeDecisions()
 	for i, want := range []control.TxnID{1, id, 101, 100} {
 		must.Eq(t, want, h.decided[i].Txn)
@@ -261,7 +269,8 @@
 	must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 }
 
-// Checks that a request beyond its quota is rejected at once, with the time after which units are available.
+// Guards against a request beyond its quota that waits or is rejected without a useful Retry-After time. The request must be rejected at once, with the
+// time after which units are available.
 func TestRequestBeyondQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	h := newHarness(idempotentRoute, 3)
 	h.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
@@ -275,7 +284,7 @@
 	must.Between(t, 500*time.Millisecond, h.lastDecision().After, 1001*time.Millisecond)
 }
 
-// Checks that idempotent requests are canceled at a backend that does not respond while another one does.
+// Guards against idempotent requests that stay at a backend that does not respond. They must be canceled there while another backend responds.
 func TestIdempotentRequestIsCanceledAtDeadBackend(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	for id := control.TxnID(1); id <= 60; id++ { // backend 1 does not respond
@@ -296,10 +305,10 @@
 
 var _ Limiter = (*quota.Limiter)(nil)
 
-// Request IDs are reused. Checks that a timer of an earlier request does nothing to a later request with the same ID.
+// Guards against a timer of an earlier request that ends a later request with the same ID. Request IDs are reused.
 func TestTimerOfEarlierRequestWithSameIDHasNoEffect(t *testing.T) {
 	h := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
-	h.sendRequest(7) // it expires in 10 s
+	h.sendRequest(7) // expires in 10 s
 	h.takeDecisions()
 	h.SubmissionEnded(7, 0, 1, control.Succeeded, true, time.Millisecond, nil)
 	h.advanceTo(h.now + 9*time.Second)
@@ -312,8 +321,9 @@
 	must.Eq(t, control.Fail, h.decided[0].Action)
 }
 
-// Checks that each target gets the share of its weight within few requests, over all nodes together, even if configurations change. A target without
-// backends leaves its share to the others. Guards against a random choice, which is off by 0.05 or more in one of twelve runs of 300 requests.
+// Guards against a random choice of targets, which differs from the weights by 0.05 or more in one of twelve runs of 300 requests. Over all nodes
+// together, each target must get the share of its weight within few requests, even if configurations change. A target without backends gets no
+// requests, and the other targets get its share.
 func TestTargetsGetTheirShareOfWeights(t *testing.T) {
 	const nodes, requestsPerNode = 12, 25
 	for _, weights := range [][]int{{50, 50}, {90, 10}, {1, 2, 3}, {97, 3}} {
--- a/internal/gateway/admission/counts.go
+++ b/internal/gateway/admission/counts.go
@@ -5,19 +5,20 @@
 // counts holds the numbers of events since the last summary in the log.
 type counts struct {
 	arrived             int
-	retried             int
-	clientsLeft         int // before their answer
-	clientsLeftInFlight int // of these, while a submission was in flight
-	ranAfterClientLeft  int // of these, with an idempotent request in flight for longer than maxRunAfterClientLeft
-	endings             [control.NotSent + 1]int
-	reasons             [control.ReasonCount]int
+	retried             int                      // submissions after the first of a request
+	clientsLeft         int                      // clients that left before the answer
+	clientsLeftInFlight int                      // clients that left while a submission was in flight
+	ranAfterClientLeft  int                      // idempotent requests in flight for more than maxRunAfterClientLeft after the client left
+	endings             [control.NotSent + 1]int // submissions by ending
+	reasons             [control.ReasonCount]int // requests answered by this node, by reason
 }
 
-// countEnding counts the end of a submission. An ending out of range is counted as the nearest one.
+// countEnding counts the end of a submission. An ending out of range is counted as the nearest valid ending.
 func (c *counts) countEnding(e control.Ending) {
 	c.endings[min(max(int(e), 0), len(c.endings)-1)]++
 }
 
+// countReason counts a request that is answered without a response of a backend. A reason out of range is counted as the nearest one.
 func (c *counts) countReason(r control.Reason) {
 	c.reasons[min(max(int(r), 0), len(c.reasons)-1)]++
 }
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -8,7 +8,8 @@
 	"clovergap/internal/gateway/balancer"
 )
 
-// enqueue puts a request into the queue of its service. Every request passes through the queue, so that none overtakes one of higher priority.
+// enqueue adds a request to the queue of its service. It rejects the request if the queue is full. Every request passes through the queue, so that no
+// request overtakes a request of higher priority.
 func (c *Controller) enqueue(t *txn) {
 	s := t.service
 	if len(s.queue) >= maxQueueLength {
@@ -16,7 +17,7 @@
 		return
 	}
 	if t.Customer != 0 && !t.unitsConsumed && !t.unitsReserved {
-		// While the request waits, the snapshot of the quota may expire and no longer cover the units. So they are reserved now.
+		// While the request waits, the limiter's snapshot of the quota may expire and no longer cover the units. So the units are reserved now.
 		t.unitsReserved = true
 		c.limiter.Reserve(t.Customer, t.Units)
 	}
@@ -26,7 +27,7 @@
 	c.setGiveUpTime(t, max(c.queueDeadline(t), c.now+minWakeDelay))
 }
 
-// queueDeadline returns the time until which a request waits for a backend.
+// queueDeadline returns the time until which a request may wait for a backend.
 func (c *Controller) queueDeadline(t *txn) time.Duration {
 	if t.submissions == 0 {
 		return t.arrivedAt + time.Duration(queueTimeShare*float64(t.targetAt-t.arrivedAt)) - clientNetworkTime
@@ -51,8 +52,8 @@
 	return -1
 }
 
-// sendQueued takes one request out of a queue. The request is sent or, if no backend is left for it, answered. sendQueued returns false if no
-// request can leave a queue now.
+// sendQueued removes one request from a queue, and sends the request or, if no backend is left for it, answers it. It returns false if no request can
+// leave a queue now.
 func (c *Controller) sendQueued() bool {
 	for _, s := range c.services {
 		if !s.recheck {
@@ -66,9 +67,10 @@
 	return false
 }
 
-// sendFirstPossible removes one request from a queue: the first request for which the balancer chooses a backend or for which no backend is
-// left. It sends the request or, if no backend is left, ends it. If the balancer has no backend for an idempotent request that was never sent, it
-// has none for the requests behind it either. An effectful request or a retry may use fewer backends, so requests behind it may still be sent.
+// sendFirstPossible removes one request from the queue of a service: the first request for which the balancer chooses a backend or for which no
+// backend is left. It sends the request or, if no backend is left, answers it. If the balancer has no backend for an idempotent request that was
+// never sent, the balancer has none for the later requests in the queue either. An effectful request or a retry may use fewer backends, so later
+// requests in the queue may still be sent. sendFirstPossible returns false if it removes no request.
 func (c *Controller) sendFirstPossible(s *service) bool {
 	blocked, effectfulBlocked := 0, false
 	for i, t := range s.queue {
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -14,8 +14,8 @@
 	"clovergap/control/quota"
 )
 
-// simulateAndDigest simulates three nodes and two services, one of which has a canary, with backends that are added, removed, fail and do not
-// respond. It returns the number and a digest of all decisions, without log entries.
+// simulateAndDigest simulates three nodes and two services. One of the services has a canary. Backends are added, are removed, fail, and do not
+// respond. simulateAndDigest returns the number of decisions and a digest of them. Log entries are not included.
 func simulateAndDigest(seed int64, load float64) string {
 	type event struct {
 		at       time.Duration
@@ -34,10 +34,13 @@
 		for c := control.CustomerID(1); c <= 6; c++ {
 			quota.SetLimit(c, float64(c)*10, float64(c)*20)
 		}
-		controller := New(seed*10+int64(i), Config{Zone: control.ZoneID(i % 2), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: nodes}, quota, now)
+		controller := New(seed*10+int64(i), Config{Zone: control.ZoneID(i % 2), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64,
+			Nodes: nodes}, quota, now)
 		controller.SetAssigner(&oddAssigner{})
-		controller.SetRoute(1, Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 3, Priority: 1, Targets: []Target{{1, 3}, {3, 1}}})
-		controller.SetRoute(2, Route{Effectful: true, LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2, Targets: []Target{{1, 1}}})
+		controller.SetRoute(1, Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 3, Priority: 1,
+			Targets: []Target{{1, 3}, {3, 1}}})
+		controller.SetRoute(2, Route{Effectful: true, LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2,
+			Targets: []Target{{1, 1}}})
 		controller.SetRoute(3, Route{Deadline: 800 * time.Millisecond, MaxAttempts: 2, Priority: 2, Targets: []Target{{3, 1}}})
 		controller.SetZoneIndex(i/2, 2)
 		controllers = append(controllers, controller)
@@ -51,7 +54,7 @@
 			controller.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready)})
 		}
 	}
-	paused := func(step int) bool { return step%1500 > 1420 } // node 1 is paused at times
+	paused := func(step int) bool { return step%1500 > 1420 } // the steps in which node 1 is paused
 	submissions := map[[2]int]int{}
 	answered := map[[2]int]bool{}
 	inFlight := [backends + 1]int{}
@@ -94,10 +97,10 @@
 			case control.SendDatagram:
 				controllers[decision.Peer].DatagramReceived(control.GatewayID(e.node), decision.Payload)
 			case control.Cancel:
-				// handled when it is decided, see below
+				// handled when the decision is taken, see below
 			case control.Submit:
 				if e.attempt != submissions[key]-1 {
-					continue // canceled in the meantime
+					continue // the submission was canceled in the meantime
 				}
 				inFlight[decision.Backend]--
 				ending, took := control.Succeeded, now-e.sent
@@ -109,7 +112,8 @@
 				case took > decision.After:
 					ending, took = control.TimedOut, decision.After
 				case rng.Intn(25) == 0:
-					ending = []control.Ending{control.Errored, control.Rejected, control.TimedOut, control.Unreachable, control.ConnectionLost, control.NotSent}[rng.Intn(6)]
+					ending = []control.Ending{control.Errored, control.Rejected, control.TimedOut, control.Unreachable,
+						control.ConnectionLost, control.NotSent}[rng.Intn(6)]
 				}
 				if ending == control.Succeeded && rng.Intn(30) == 0 {
 					controller.Begun(decision.Txn)
@@ -138,7 +142,8 @@
 					continue
 				}
 				count++
-				for _, v := range []int64{int64(decision.Action), int64(decision.Txn), int64(decision.Attempt), int64(decision.Backend), int64(decision.After), int64(decision.ResponseTimeout), int64(decision.Peer), int64(decision.Reason)} {
+				for _, v := range []int64{int64(decision.Action), int64(decision.Txn), int64(decision.Attempt), int64(decision.Backend),
+					int64(decision.After), int64(decision.ResponseTimeout), int64(decision.Peer), int64(decision.Reason)} {
 					digest.Write(binary.LittleEndian.AppendUint64(nil, uint64(v)))
 				}
 				digest.Write(decision.Payload)
@@ -156,7 +161,7 @@
 					events = append(events, event{now + min(took, decision.After+time.Millisecond), i, decision, submissions[key], now})
 					submissions[key]++
 				case control.Cancel:
-					submissions[key]++ // events of the canceled submission are void
+					submissions[key]++ // later events of the canceled submission are ignored
 					for j, e := range events {
 						if e.node == i && e.decision.Txn == decision.Txn && e.decision.Action == control.Submit && e.attempt == decision.Attempt {
 							inFlight[e.decision.Backend]--
@@ -182,8 +187,8 @@
 	return fmt.Sprintf("%d %016x", count, digest.Sum64())
 }
 
-// Guards against a refactoring that changes decisions: they must be those recorded on 2 December 2026, down to each random number. A change that is
-// meant to change decisions records new digests.
+// Guards against a refactoring that changes decisions. The decisions must equal the decisions recorded on 2 December 2026, including the effects of
+// each random number. A change that is meant to change decisions must record new digests.
 func TestDecisionsMatchRecordedDigest(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -191,9 +196,9 @@
 		load float64
 		want string
 	}{
-		{"calm", 1, 0.2, "28497 94097003947d7c84"},
-		{"busy", 2, 0.5, "68491 e49524e28910646d"},
-		{"crowded", 3, 0.8, "178306 e9ac0781b1f099bd"},
+		{"low load", 1, 0.2, "28497 94097003947d7c84"},
+		{"medium load", 2, 0.5, "68491 e49524e28910646d"},
+		{"high load", 3, 0.8, "178306 e9ac0781b1f099bd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulateAndDigest(tc.seed, tc.load)) })
 	}
--- a/internal/gateway/admission/route.go
+++ b/internal/gateway/admission/route.go
@@ -16,29 +16,29 @@
 
 // Route holds the rules for requests of one product ID.
 type Route struct {
-	// Effectful requests run at most once. Others are idempotent.
+	// Effectful means that a request may run only once. Otherwise the requests are idempotent.
 	Effectful bool
-	// LatencyTarget is the time from a request's arrival in which an answer has its full value. 0 means until the deadline.
+	// LatencyTarget is the time from a request's arrival within which an answer has its full value. 0 means until the deadline.
 	LatencyTarget time.Duration
-	// Deadline is the longest time for which a request is kept. 0 means until its expiry.
+	// Deadline is the time from a request's arrival within which the request is answered. 0 means that only the request's Expiry counts.
 	Deadline time.Duration
 	// MaxAttempts is the number of backends that one request may reach, at least 1.
 	MaxAttempts int
-	// Priority 0 is the highest.
+	// Priority is the priority of requests of tenants with equal priority. 0 is the highest.
 	Priority int
-	Targets  []Target
+	// Targets are the services among which requests are distributed.
+	Targets []Target
 
-	// weightPoint determines the target of the last request. It is a position in the sum of the targets' weights, as a fraction of the sum: at
-	// least 0 and below 1.
+	// weightPoint determined the target of the last request. It is a position in the sum of the targets' weights, expressed as a fraction of the
+	// sum. The fraction is at least 0 and below 1.
 	weightPoint float64
 }
 
-// goldenRatio is the amount by which weightPoint advances with each request. With this step, even a few consecutive requests are spread evenly
-// over the sum of the weights, for any weights.
+// goldenRatio is the amount by which weightPoint advances with each request. With this step, even a few consecutive requests are distributed over
+// the targets in proportion to their weights, whatever the weights are.
 const goldenRatio = 0.6180339887498949
 
-// nextWeightPoint advances weightPoint by goldenRatio, modulo 1, and returns the new value: a fraction of the sum of the weights, at least 0 and
-// below 1. chooseByWeight multiplies this fraction by the sum to choose the target of the next request.
+// advanceWeightPoint advances weightPoint by goldenRatio, modulo 1, and returns the new value.
 func (r *Route) advanceWeightPoint() float64 {
 	_, r.weightPoint = math.Modf(r.weightPoint + goldenRatio)
 	return r.weightPoint
@@ -48,7 +48,7 @@
 func (c *Controller) SetRoute(id control.ProductID, route Route) {
 	route.Targets = slices.Clone(route.Targets)
 	route.MaxAttempts = max(route.MaxAttempts, 1)
-	route.weightPoint = c.rng.Float64() // nodes start at different points
+	route.weightPoint = c.rng.Float64() // nodes start at different points, so that they do not all choose the same targets at the same time
 	if old := c.routes[id]; old != nil {
 		route.weightPoint = old.weightPoint
 	}
@@ -58,11 +58,12 @@
 	}
 }
 
-// RemoveRoute removes a product ID. Requests that arrived before keep their rules.
+// RemoveRoute removes the route of a product ID. Requests that arrived before keep their rules.
 func (c *Controller) RemoveRoute(id control.ProductID) { delete(c.routes, id) }
 
 // LowerMaxAttempts lowers the number of backends that a request of a product ID may reach, also for requests that arrived before. The host calls
-// it if a newer configuration may allow fewer attempts and this node knows nothing else of that configuration. It never raises the number.
+// LowerMaxAttempts if a newer configuration may allow fewer attempts and this node does not have that configuration. LowerMaxAttempts never raises
+// the number.
 func (c *Controller) LowerMaxAttempts(id control.ProductID, maxAttempts int) {
 	if route := c.routes[id]; route != nil {
 		route.MaxAttempts = min(route.MaxAttempts, max(maxAttempts, 1))
@@ -79,7 +80,7 @@
 	return c.chooseByWeight(route, anyService)
 }
 
-// chooseByWeight chooses by weight among the eligible targets, or returns nil if their weights are 0.
+// chooseByWeight chooses one of the eligible targets by weight. It returns nil if the sum of their weights is 0.
 func (c *Controller) chooseByWeight(route *Route, eligible func(*service) bool) *service {
 	sum := 0
 	for _, t := range route.Targets {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// hasRoute reports whether a service is a target of any route.
+// isRouteTarget reports whether a service is a target of any route.
 func (c *Controller) isRouteTarget(s *service) bool {
 	for _, route := range c.routes {
 		if slices.ContainsFunc(route.Targets, func(t Target) bool { return t.Service == s.id }) {
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -8,22 +8,22 @@
 	"clovergap/internal/gateway/balancer"
 )
 
-// service is one version of a service.
+// service is one version of a service. Outside of roll-outs a service has a single version.
 type service struct {
 	id          control.ServiceID
 	balancer    *balancer.Balancer
-	budget      *retryBudget // shared by both versions
+	budget      *retryBudget // for retries; shared by both versions of a service
 	queue       []*txn       // requests that wait for a backend, ordered by compareQueued
 	recheck     bool         // a queued request may be sendable now
-	txnCount    int          // requests of this node that are counted at this version
+	txnCount    int          // requests of this node that have chosen this version and have not ended
 	concurrency concurrency
 
-	baseline     *service // on a canary: its baseline version, otherwise nil
-	canary       *service // on a baseline version: its canary, nil if there is none
-	canaryAccess CanaryAccess
+	baseline     *service     // the baseline version, if this version is a canary; otherwise nil
+	canary       *service     // the canary, if this version has one; otherwise nil
+	canaryAccess CanaryAccess // which requests may go to canary
 }
 
-// service returns a service, which it creates if necessary.
+// getOrCreateService returns the service with an ID. It creates the service if there is none.
 func (c *Controller) getOrCreateService(id control.ServiceID) *service {
 	at, ok := slices.BinarySearchFunc(c.services, id, func(s *service, id control.ServiceID) int {
 		return int(s.id) - int(id)
@@ -35,7 +35,7 @@
 	return c.services[at]
 }
 
-// readyBackends returns the number of ready backends of a service, including its canary's unless the access is CanaryClosed.
+// readyBackendCount returns the number of ready backends of a service. Backends of its canary are included unless canaryAccess is CanaryClosed.
 func (s *service) readyBackendCount() int {
 	n := s.balancer.ReadyCount()
 	if s.canary != nil && s.canaryAccess != CanaryClosed {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// EndpointsChanged applies changes of the backend list. A complete list replaces the former one.
+// EndpointsChanged applies changes of the backend list. A complete list replaces the previous list.
 func (c *Controller) EndpointsChanged(complete bool, list []control.Endpoint) {
 	if complete {
 		c.removeUnlisted(list)
@@ -62,7 +62,7 @@
 	}
 }
 
-// removeUnlisted removes the backends that a complete list does not have, or has at another service.
+// removeUnlisted removes the backends that a complete list omits or assigns to another service.
 func (c *Controller) removeUnlisted(list []control.Endpoint) {
 	listed := map[control.BackendID]control.ServiceID{}
 	for _, e := range list {
@@ -77,7 +77,8 @@
 	}
 }
 
-// setEndpoint applies one entry of the backend list. A backend is never at two services, so one that has moved is removed at its former service.
+// setEndpoint applies one entry of the backend list. A backend belongs to one service at a time. If the entry names another service than before, the
+// backend is removed from its previous service.
 func (c *Controller) setEndpoint(e control.Endpoint) {
 	s := c.serviceOf[e.ID]
 	if s != nil && s.id != e.Service && e.State != control.Gone {
@@ -98,19 +99,19 @@
 	}
 }
 
-// advanceBudget brings the retry budget of a service up to now.
+// advanceBudget advances the retry budget of a service to the current time.
 func (c *Controller) advanceBudget(s *service) {
 	s.budget.advance(c.now, refillShare*c.config.RetryAllowance/float64(c.config.Nodes))
 }
 
-// retryTokens returns the number of retries that the budget of a service allows now.
+// availableRetryTokens returns the number of tokens in the retry budget of a service. A retry needs 1.
 func (c *Controller) availableRetryTokens(s *service) float64 {
 	c.advanceBudget(s)
 	return s.budget.availableTokens()
 }
 
-// retryAfter returns the time after which a rejected client should retry. The time is an estimate of how long this node needs to empty the
-// service's queue. The estimate follows from the queue's length, this node's capacity and the typical latency. The service may be nil.
+// retryAfterTime returns the time after which a rejected client should retry. The time is an estimate of how long this node needs to empty the
+// service's queue. The estimate is computed from the queue's length, this node's capacity and the typical latency. The service may be nil.
 func (c *Controller) retryAfterTime(s *service) time.Duration {
 	if s == nil || s.balancer.ReadyCount() == 0 {
 		return time.Duration(float64(noBackendRetryAfter) * (retryAfterJitterBase + retryAfterJitter*c.rng.Float64()))
@@ -124,21 +125,22 @@
 }
 
 const (
-	// concurrencySpan is the time over which the requests in flight are averaged.
+	// concurrencySpan is the time over which the number of requests in flight is averaged.
 	concurrencySpan = 10 * time.Second
-	// concurrencyPeriod is the length of a period. Peaks cover the present period and the one before.
+	// concurrencyPeriod is the length of a period. The peak covers the present period and the period before it.
 	concurrencyPeriod = 30 * time.Minute
 )
 
-// concurrency tracks how many requests of this node were in flight at a service, as the highest averages over concurrencySpan.
+// concurrency tracks the number of requests of this node that were in flight at a version of a service. It keeps the highest average over a span of
+// concurrencySpan.
 type concurrency struct {
 	spanStart     time.Duration // start of the present span
-	busyTime      time.Duration // total duration of the requests that ended in it
+	busyTime      time.Duration // total duration of the submissions that ended in the present span
 	currentPeriod time.Duration // number of the present period
-	peaks         [2]float64    // of the present period and the one before
+	peaks         [2]float64    // highest average of the present period and of the period before it
 }
 
-// advance ends the span if it is over.
+// advance ends the present span if concurrencySpan has passed since its start.
 func (c *concurrency) advance(now time.Duration) {
 	if now-c.spanStart < concurrencySpan {
 		return
@@ -154,11 +156,12 @@
 	c.busyTime, c.spanStart = 0, now
 }
 
+// highestPeak returns the highest average of the present period and the period before it.
 func (c *concurrency) highestPeak() float64 { return max(c.peaks[0], c.peaks[1]) }
 
 // PeakConcurrency returns the peak number of requests that this node had in flight at a service. During a roll-out it is the sum of the peaks of
 // both versions. A peak is the highest average over a span of ten seconds, in the present period of 30 minutes and the period before it. 0 means
-// unknown.
+// that no span with requests has ended in these periods.
 func (c *Controller) PeakConcurrency(id control.ServiceID) float64 {
 	s := c.getOrCreateService(id)
 	peak := s.concurrency.highestPeak()
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -11,12 +11,12 @@
 	"clovergap/internal/timerqueue"
 )
 
-// job is an event of the simulation, or a request that is queued at a backend. The kinds are:
-//   - arrival: a client's request arrives at a node.
-//   - arrive: a submission reaches its backend.
-//   - done: the backend has processed the submission.
-//   - settled, full, cut: the node learns that the submission succeeded, was rejected or timed out.
-//   - wake: the node is woken at the time that it asked for.
+// job is an event of the simulation, or a request that is queued at a server. The kinds are:
+//   - requestArrives: a client's request arrives at a node.
+//   - submissionArrives: a submission reaches its server.
+//   - processed: the server has processed the submission.
+//   - succeeded, rejected, timedOut: the node learns that the submission ended in this way.
+//   - wakeUp: the node is woken at the time that it requested.
 type job struct {
 	kind    string
 	node    int
@@ -26,9 +26,9 @@
 	sentAt  time.Duration
 }
 
-// server processes as many requests at a time as it has slots, and queues as many more.
+// server simulates a backend. It processes as many requests at a time as it has slots, and queues as many more.
 type server struct {
-	speed        float64
+	speed        float64 // factor on the processing time; a lower value is faster
 	slots        int
 	zone         control.ZoneID
 	busy         int
@@ -46,7 +46,7 @@
 	events                                                                          timerqueue.Queue[job]
 	route                                                                           Route
 	meanServiceTime                                                                 time.Duration
-	arrivalRates                                                                    []float64 // requests per second, by controller
+	arrivalRates                                                                    []float64 // requests per second, by controller; for the first route
 	arrivedAt                                                                       map[[2]int]time.Duration
 	lastTxn                                                                         control.TxnID
 	routeOf                                                                         map[control.TxnID]control.ProductID
@@ -54,6 +54,7 @@
 	arrived, inTarget, late, rejected, failed, crossZone, firstSubmissions, retries int
 }
 
+// newSimulation returns a simulation of nodes that send requests to the servers of one service. rate is the total number of requests per second.
 func newSimulation(seed int64, nodes, servers, slots int, rate float64, effectful bool) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), meanServiceTime: 120 * time.Millisecond, arrivedAt: map[[2]int]time.Duration{},
 		routeOf: map[control.TxnID]control.ProductID{}, requested: map[control.ProductID]int{}, served: map[control.ProductID]int{},
@@ -76,18 +77,20 @@
 		controller.EndpointsChanged(true, list)
 		sim.controllers = append(sim.controllers, controller)
 		sim.arrivalRates = append(sim.arrivalRates, rate/float64(nodes)*(0.6+0.8*sim.rng.Float64()))
-		sim.events.Add(0, job{kind: "arrival", node: i})
+		sim.events.Add(0, job{kind: "requestArrives", node: i})
 	}
 	return sim
 }
 
+// scheduleAfter adds an event that occurs after the duration d.
 func (s *simulation) scheduleAfter(d time.Duration, j job) { s.events.Add(s.now+d, j) }
 
+// randomTime returns an exponentially distributed time.
 func (s *simulation) randomTime(mean time.Duration) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
-// run processes the events until a time.
+// runUntil processes all events up to a time.
 func (s *simulation) runUntil(until time.Duration) {
 	for {
 		at, _ := s.events.NextDeadline()
@@ -102,14 +105,14 @@
 
 func (s *simulation) handleEvent(j job) {
 	controller := s.controllers[j.node]
-	if j.kind == "arrive" || j.kind == "done" {
+	if j.kind == "submissionArrives" || j.kind == "processed" {
 		s.handleAtServer(j)
 		return
 	}
 	controller.Now(s.now)
 	switch j.kind {
-	case "arrival":
-		rate, kind := s.arrivalRates[j.node], control.ProductID(max(j.attempt, 1)) // attempt holds the product ID of a route that was added later
+	case "requestArrives":
+		rate, kind := s.arrivalRates[j.node], control.ProductID(max(j.attempt, 1)) // for this kind of event, attempt holds the product ID, or 0 for 1
 		if kind > 1 {
 			rate *= addedRouteShare
 		}
@@ -120,13 +123,13 @@
 		s.arrived++
 		s.arrivedAt[[2]int{j.node, int(s.lastTxn)}] = s.now
 		controller.TxnArrived(control.Txn{ID: s.lastTxn, Product: kind, Units: 1, Expiry: s.now + s.route.Deadline})
-	case "settled", "full", "cut":
-		ending := map[string]control.Ending{"settled": control.Succeeded, "full": control.Rejected,
-			"cut": control.TimedOut}[j.kind]
+	case "succeeded", "rejected", "timedOut":
+		ending := map[string]control.Ending{"succeeded": control.Succeeded, "rejected": control.Rejected,
+			"timedOut": control.TimedOut}[j.kind]
 		key := [2]int{j.node, int(j.txn)}
 		arrivedAt, waiting := s.arrivedAt[key]
 		if t := controller.txns[j.txn]; t == nil || !t.inFlight || t.submissions-1 != j.attempt {
-			break // the submission has ended otherwise
+			break // the submission has already ended
 		}
 		if waiting && ending == control.Succeeded {
 			delete(s.arrivedAt, key)
@@ -142,6 +145,7 @@
 	s.takeDecisions(j.node, controller)
 }
 
+// takeDecisions performs all decisions of a controller that are due.
 func (s *simulation) takeDecisions(node int, controller *Controller) {
 	for decision, ok := controller.Next(); ok; decision, ok = controller.Next() {
 		key := [2]int{node, int(decision.Txn)}
@@ -153,12 +157,12 @@
 			} else {
 				s.retries++
 			}
-			j := job{"arrive", node, decision.Txn, attempt, decision.Backend, s.now}
+			j := job{"submissionArrives", node, decision.Txn, attempt, decision.Backend, s.now}
 			if s.servers[decision.Backend-1].zone != controller.config.Zone {
 				s.crossZone++
 			}
 			s.scheduleAfter(time.Millisecond, j)
-			j.kind = "cut"
+			j.kind = "timedOut"
 			s.scheduleAfter(decision.After, j)
 		case control.Reject, control.Fail:
 			if decision.Action == control.Fail {
@@ -172,29 +176,30 @@
 				controller.SubmissionEnded(decision.Txn, decision.Attempt, t.lastBackend, control.Canceled, t.ended, s.now-t.sentAt, nil)
 			}
 		case control.Wake:
-			s.scheduleAfter(decision.After, job{kind: "wake", node: node})
+			s.scheduleAfter(decision.After, job{kind: "wakeUp", node: node})
 		}
 	}
 }
 
+// handleAtServer processes an event at a server.
 func (s *simulation) handleAtServer(j job) {
 	server := s.servers[j.backend-1]
 	if server.unresponsive {
 		return
 	}
-	if j.kind == "arrive" {
+	if j.kind == "submissionArrives" {
 		switch {
 		case server.busy < server.slots:
 			s.startProcessing(server, j)
 		case len(server.queue) < server.slots:
 			server.queue = append(server.queue, j)
 		default:
-			j.kind = "full"
+			j.kind = "rejected"
 			s.scheduleAfter(time.Millisecond, j)
 		}
 		return
 	}
-	j.kind = "settled"
+	j.kind = "succeeded"
 	s.scheduleAfter(time.Millisecond, j)
 	server.busy--
 	if len(server.queue) > 0 {
@@ -204,16 +209,17 @@
 	}
 }
 
+// startProcessing starts the processing of a submission at a server.
 func (s *simulation) startProcessing(server *server, j job) {
 	server.busy++
 	d := time.Duration(float64(s.randomTime(s.meanServiceTime)) * server.speed)
-	j.kind = "done"
+	j.kind = "processed"
 	server.busyTime += d
 	s.scheduleAfter(d, j)
 }
 
-// Checks that fast backends are used a little more than slow ones without being overloaded, that few requests leave their zone, and that load beyond
-// the capacity is rejected without harm to the other requests.
+// Guards against uneven load, needless traffic between zones, and overload that delays all requests. Fast backends are used a little more than slow
+// backends without being overloaded. Few requests leave their zone. Load beyond the capacity is rejected, and the other requests still succeed.
 func TestLoadIsBalancedWithinZonesAndExcessIsRejected(t *testing.T) {
 	sim := newSimulation(1, 12, 13, 4, 330, false)
 	sim.runUntil(40 * time.Second)
@@ -224,7 +230,7 @@
 				lowestUse, highestUse = min(lowestUse, use), max(highestUse, use)
 			}
 		}
-		must.Less(t, 1.35, highestUse/lowestUse) // speeds are 0.6 to 1.4, shares are their 1.6th power
+		must.Less(t, 1.35, highestUse/lowestUse) // speeds are 0.6 to 1.4; a backend's share is proportional to speed^-1.6
 	}
 	must.Greater(t, 0.93, sim.shareOfArrivals(sim.inTarget))
 	must.Less(t, 0.06, sim.shareOfArrivals(sim.crossZone))
@@ -235,7 +241,7 @@
 	must.LessEq(t, 0.2*float64(sim.firstSubmissions)+64, float64(sim.retries))
 }
 
-// Checks that two unresponsive backends cost few requests: the other backends take over, and few requests probe the two.
+// Guards against requests that fail because two backends do not respond. The other backends take over, and few requests probe the two.
 func TestTwoUnresponsiveBackendsCostFewRequests(t *testing.T) {
 	for _, effectful := range []bool{false, true} {
 		sim := newSimulation(1, 12, 13, 4, 217, effectful)
@@ -248,14 +254,15 @@
 	}
 }
 
+// shareOfArrivals returns n divided by the number of requests that arrived.
 func (s *simulation) shareOfArrivals(n int) float64 { return float64(n) / float64(s.arrived) }
 
-// addedRouteShare is the request rate of each route that was added later, as a share of the node's rate of the first route.
+// addedRouteShare is the request rate of each route that is added later, as a fraction of the node's request rate for the first route.
 const addedRouteShare = 0.1
 
-// Checks that requests of a route that is added later succeed as often as those of the first route, from the new route's first second on. One added
-// route uses the existing service. Another added route uses a new service. The backends of the new service are slow at first, and no node has
-// observed them yet.
+// Guards against requests of a newly added route that fail because little is known of the route's latencies or backends. One added route uses the
+// existing service. Another added route uses a new service, whose backends are warming up and slow. In the first five seconds, the share of requests
+// that succeed must be at least 0.8 times the share of the first route.
 func TestAddedRoutesAreServed(t *testing.T) {
 	for _, nodes := range []int{3, 12} {
 		sim := newSimulation(2, nodes, 13, 4, 200, false)
@@ -270,11 +277,11 @@
 			newServiceRoute.Targets = []Target{{2, 1}}
 			controller.SetRoute(3, newServiceRoute)
 			for b := range 3 {
-				controller.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(14 + b), Zone: control.ZoneID(b), State: control.Ready, Capacity: 4,
-					Service: 2, WarmingUntil: sim.now + 3*time.Second}})
+				controller.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(14 + b), Zone: control.ZoneID(b), State: control.Ready,
+					Capacity: 4, Service: 2, WarmingUntil: sim.now + 3*time.Second}})
 			}
 			for kind := 2; kind <= 3; kind++ {
-				sim.events.Add(sim.now, job{kind: "arrival", node: i, attempt: kind})
+				sim.events.Add(sim.now, job{kind: "requestArrives", node: i, attempt: kind})
 			}
 		}
 		sim.requested, sim.served = map[control.ProductID]int{}, map[control.ProductID]int{}
@@ -283,7 +290,7 @@
 		must.Greater(t, 0.9, firstRouteShare)
 		for kind := control.ProductID(2); kind <= 3; kind++ {
 			must.Greater(t, 40, sim.requested[kind])
-			must.Greater(t, 0.8*firstRouteShare, float64(sim.served[kind])/float64(sim.requested[kind]), must.Sprintf("%d nodes, kind %d", nodes, kind))
+			must.Greater(t, 0.8*firstRouteShare, float64(sim.served[kind])/float64(sim.requested[kind]), must.Sprintf("%d nodes, product ID %d", nodes, kind))
 		}
 	}
 }
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -7,8 +7,8 @@
 	"clovergap/control"
 )
 
-// timer is a scheduled check of a request. Request IDs are reused, so the request that has the ID when the timer fires may be a later one. Each
-// kind of timer therefore checks its condition again.
+// timer is a scheduled check of a request. Request IDs are reused, so the request that has the ID when the timer fires may be a later request. A
+// timer that fires therefore first checks whether its condition holds for that request.
 type timer struct {
 	txn  control.TxnID
 	kind timerKind
@@ -18,11 +18,11 @@
 
 const (
 	timerDeadline    timerKind = iota // the request's deadline
-	timerGiveUp                       // the end of a wait, see setGiveUpTime
-	timerDeadBackend                  // a submission may be at a dead backend
+	timerGiveUp                       // the end of the wait for units or in a queue, see setGiveUpTime
+	timerDeadBackend                  // a check whether the backend of a submission is dead
 )
 
-// setGiveUpTime bounds how long a request waits for units or in its queue.
+// setGiveUpTime sets the time at which a request's wait for units or in its queue ends.
 func (c *Controller) setGiveUpTime(t *txn, at time.Duration) {
 	if t.giveUpAt == at {
 		return
@@ -31,7 +31,7 @@
 	c.timers.Add(at, timer{t.ID, timerGiveUp})
 }
 
-// scheduleDeadBackendCheck schedules a check of the submission in flight, if the request could go to another backend.
+// scheduleDeadBackendCheck schedules a check whether the backend of the submission in flight is dead, if the request could go to another backend.
 func (c *Controller) scheduleDeadBackendCheck(t *txn) {
 	if t.route.Effectful || t.attempts+1 >= t.route.MaxAttempts {
 		return
@@ -43,6 +43,7 @@
 	}
 }
 
+// fireTimer performs the check of a timer that is due.
 func (c *Controller) fireTimer(t *txn, kind timerKind) {
 	switch kind {
 	case timerDeadline:
@@ -50,15 +51,15 @@
 			c.finish(t, control.ReasonNoTime, 0)
 		}
 	case timerGiveUp:
-		c.endWait(t)
+		c.handleGiveUpTime(t)
 	case timerDeadBackend:
 		c.cancelAtDeadBackend(t)
 	}
 }
 
-// giveUp ends the wait of a request. If the request waits for units, the owner of its quota has not answered, so this node decides on the request a
-// last time. A request in the queue of a canary moves to the baseline version.
-func (c *Controller) endWait(t *txn) {
+// handleGiveUpTime ends the wait of a request. If the request waits for units, the node that owns the quota has not answered in time, so this node decides on
+// the request again. A request in the queue of a canary moves to the baseline version if possible. Any other request in a queue is answered.
+func (c *Controller) handleGiveUpTime(t *txn) {
 	switch {
 	case t.ended || t.inFlight || c.now < t.giveUpAt:
 	case t.queued && c.fallBackToBaseline(t):
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -10,62 +10,63 @@
 	"clovergap/internal/invariant"
 )
 
-// txn is a request that this node processes, until it is answered and its last submission has ended.
+// txn is a request. It exists from the arrival of the request until the request is answered and its last submission has ended.
 type txn struct {
 	control.Txn
 	route     *Route
 	arrivedAt time.Duration
-	targetAt  time.Duration // end of the time in which an answer has its full value
-	deadline  time.Duration // time by which it must be answered
-	rank      [2]int        // its tenant's and its route's priority; 0 is highest
+	targetAt  time.Duration // time until which an answer has its full value
+	deadline  time.Duration // time by which the request must be answered
+	rank      [2]int        // priority of the tenant, then of the route; 0 is the highest
 
-	service       *service // service that it goes to; nil until chosen
-	versionChosen bool     // a version was chosen, where the service has two
-	assignment    Assignment
+	service       *service   // version of a service to which the request goes; nil until chosen
+	versionChosen bool       // chooseVersion has chosen a version
+	assignment    Assignment // during a roll-out: the version assigned to the user
 
 	// Waiting.
-	queued      bool // in its service's queue
-	awaitsUnits bool // in Controller.awaitingUnits
-	giveUpAt    time.Duration
+	queued      bool          // the request is in the queue of its service
+	awaitsUnits bool          // the request is in Controller.awaitingUnits
+	giveUpAt    time.Duration // end of the wait, see setGiveUpTime
 
 	// Quota. At most one of these is true.
-	unitsReserved bool // its units are reserved while it is queued
-	unitsConsumed bool // its units are consumed
+	unitsReserved bool // the request's units are reserved while the request is queued
+	unitsConsumed bool // the request's units are consumed
 
 	// Submissions.
-	submissions     int
-	attempts        int // submissions that have ended and may have reached the backend
-	failedConnects  int // submissions that have ended and did not reach the backend
-	attempted       []control.BackendID
-	inFlight        bool
-	lastBackend     control.BackendID // backend of the last submission
-	sentAt          time.Duration
-	cancelRequested bool // the submission in flight was canceled at a dead backend, in favour of another backend
-	mayHaveRun      bool
+	submissions     int                 // number of submissions, including the one in flight
+	attempts        int                 // submissions that have ended and may have reached the backend
+	failedConnects  int                 // submissions that have ended and did not reach the backend
+	attempted       []control.BackendID // backends of all submissions
+	inFlight        bool                // a submission is in flight
+	lastBackend     control.BackendID   // backend of the last submission
+	sentAt          time.Duration       // time of the last submission
+	cancelRequested bool                // the submission in flight was canceled at a dead backend, in favour of another backend
+	mayHaveRun      bool                // the request may have run in a submission that has ended
 
 	// The end of the request.
 	answerStarted bool // a part of an answer has gone to the client
-	ended         bool // it is answered, or its client has left
+	ended         bool // the request is answered, or its client has left
 	clientLeft    bool
-	clientLeftAt  time.Duration // set if a submission was in flight then
+	clientLeftAt  time.Duration // when the client left; set only if a submission was in flight then
 }
 
-// balancerRequest returns what the balancer needs to know of the request.
+// balancerRequest returns the description of the request for the balancer.
 func (t *txn) balancerRequest() balancer.Request {
 	return balancer.Request{Kind: t.Product, Effectful: t.route.Effectful, Attempted: t.attempted}
 }
 
-// mayRunAgain reports whether the request may be sent again, since it has not run or is idempotent.
+// mayRunAgain reports whether the request may run from now on: it certainly has not run, or it is idempotent.
 func (t *txn) mayRunAgain() bool { return !t.mayHaveRun || !t.route.Effectful }
 
-// mayUseVersion reports whether the request may be sent to the version that it is counted at. It is checked again before each submission.
+// mayUseVersion reports whether the request may be sent to its chosen version. It is called again before each submission, because the access to a
+// canary may have changed.
 func (t *txn) mayUseVersion() bool {
 	baseline := t.service.baseline
 	return baseline == nil || baseline.canaryAccess == CanaryFallback || baseline.canaryAccess == CanaryShared && t.assignment.mayUseCanary()
 }
 
-// TxnArrived accepts a client's request. Product is the product ID of its route. Customer is the tenant whose quota it uses, or 0 for none. Plan is
-// the tenant's priority, which takes precedence over the route's.
+// TxnArrived accepts a client's request. Its Product is the product ID of the request's route. Its Customer is the tenant whose quota is used, or 0
+// for none. Its Plan is the tenant's priority, which takes precedence over the priority of the route.
 func (c *Controller) TxnArrived(arrival control.Txn) {
 	if c.txns[arrival.ID] != nil {
 		return
@@ -73,7 +74,7 @@
 	arrival.Units = max(arrival.Units, 0)
 	t := &txn{Txn: arrival, route: c.routes[arrival.Product], arrivedAt: c.now, deadline: arrival.Expiry - deadlineMargin}
 	if t.route == nil {
-		t.route = &Route{MaxAttempts: 1} // the route was just removed, so the request goes nowhere
+		t.route = &Route{MaxAttempts: 1} // the route was removed, so the request will be rejected
 	}
 	if t.route.Deadline > 0 {
 		t.deadline = min(t.deadline, c.now+t.route.Deadline-deadlineMargin)
@@ -89,7 +90,7 @@
 	c.counts.arrived++
 }
 
-// decide decides on a request without a submission in flight: it is queued, waits for units, or is answered.
+// decide determines how a request without a submission in flight proceeds: the request is queued, waits for units, or is answered.
 func (c *Controller) decide(t *txn) {
 	if t.ended || t.inFlight || t.queued || t.awaitsUnits {
 		return
@@ -114,8 +115,8 @@
 	}
 }
 
-// checkQuota checks whether the quota covers a request's units, unless they are already reserved or consumed. If it returns false, the request
-// waits for units or is answered.
+// checkQuota returns true if the tenant's quota covers a request's units, or if the units are already reserved or consumed. Otherwise it answers the
+// request or makes it wait for units, and returns false.
 func (c *Controller) checkQuota(t *txn) bool {
 	if t.Customer == 0 || t.unitsConsumed || t.unitsReserved {
 		return true
@@ -139,7 +140,7 @@
 	return true
 }
 
-// typicalLatency returns the typical latency of a request, or a part of its latency target while none is known.
+// typicalLatency returns the typical latency of requests of the same kind. While none is known, it returns a part of the request's latency target.
 func (c *Controller) typicalLatency(t *txn) time.Duration {
 	if t.service != nil {
 		if typical, ok := t.service.balancer.TypicalLatency(t.Product); ok {
@@ -149,13 +150,14 @@
 	return t.route.LatencyTarget / unknownLatencyDivisor
 }
 
-// canMeetDeadline reports whether an answer may still come by the deadline. The latency target does not matter, since a late answer has some value.
+// canMeetDeadline reports whether an answer may still come by the deadline. An answer after the latency target still has some value, so the latency
+// target does not matter.
 func (c *Controller) canMeetDeadline(t *txn) bool {
 	typical := min(c.typicalLatency(t), max(t.route.Deadline, t.deadline-t.arrivedAt)/4)
 	return c.now+typical/2 < t.deadline
 }
 
-// mayRetry reports whether a request that was sent before may go to another backend. The retry token is only taken when the request is sent.
+// mayRetry reports whether a request that was sent before may go to another backend. It withdraws no retry token. submit does.
 func (c *Controller) mayRetry(t *txn) bool {
 	if !t.mayRunAgain() || t.attempts >= t.route.MaxAttempts || t.failedConnects > maxFailedConnects {
 		return false
@@ -163,17 +165,17 @@
 	return t.attempts == 0 || c.availableRetryTokens(t.service) >= 1
 }
 
-// submit sends a request to a backend. It is the only place that does so, and it checks every rule again.
+// submit sends a request to a backend. No other function does. Before it sends the request, submit checks all rules again.
 func (c *Controller) submit(t *txn, backend control.BackendID) {
 	s := t.service
 	c.advanceBudget(s)
-	if t.attempts > 0 && t.attempts >= t.route.MaxAttempts { // LowerMaxAttempts was called while it was queued
+	if t.attempts > 0 && t.attempts >= t.route.MaxAttempts { // LowerMaxAttempts was called while the request was queued
 		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	allowed := !t.ended && !t.inFlight && t.mayRunAgain() && t.attempts < t.route.MaxAttempts &&
 		!slices.Contains(t.attempted, backend) && t.mayUseVersion()
-	invariant.Assert(allowed, "a submitted request may be sent to its backend")
+	invariant.Assert(allowed, "a request is submitted only to a backend to which it may be sent")
 	if !allowed || !c.canMeetDeadline(t) {
 		c.finish(t, control.ReasonNoTime, c.retryAfterTime(s))
 		return
@@ -200,7 +202,7 @@
 	c.scheduleDeadBackendCheck(t)
 }
 
-// consumeUnits consumes a request's units at its first submission and ends its reservation.
+// consumeUnits consumes a request's units, if they are not consumed yet, and releases their reservation.
 func (c *Controller) consumeUnits(t *txn) {
 	c.releaseUnits(t)
 	if t.Customer != 0 && !t.unitsConsumed {
@@ -209,16 +211,16 @@
 	t.unitsConsumed = true
 }
 
-// Begun is called when a part of an answer has gone to the client. From then on the client gets no other answer. The host ends this answer if the
-// answer is not complete in time.
+// Begun is called when a part of an answer has gone to the client. From then on the client gets no other answer. If the answer is not complete in
+// time, the host ends it.
 func (c *Controller) Begun(id control.TxnID) {
 	if t := c.txns[id]; t != nil && t.inFlight {
 		t.answerStarted = true
 	}
 }
 
-// SubmissionEnded records the one outcome of a submission. attempt is the number of the submission, from 0. A call for any other submission than
-// the one in flight is ignored. answered means that the client has an answer or a part of it, or has left.
+// SubmissionEnded records the end of a submission. attempt is the number of the submission, from 0. A call for a submission that is not in flight
+// is ignored. answered means that the client has an answer or a part of it, or has left.
 func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backend control.BackendID, ending control.Ending,
 	answered bool, took time.Duration, _ []float64) {
 	t := c.txns[id]
@@ -247,12 +249,12 @@
 	}
 }
 
-// recordOutcome reports the end of a submission to the balancer, to the service's concurrency and to the comparison of a roll-out. A submission
-// that was canceled at the deadline counts as timed out.
+// recordOutcome records the end of a submission in the balancer and in the service's concurrency, and reports it for the comparison of a roll-out.
+// A submission that was canceled at the deadline counts as timed out.
 func (c *Controller) recordOutcome(t *txn, ending control.Ending, took time.Duration) {
 	if t.clientLeft && !t.route.Effectful && c.now-t.clientLeftAt > maxRunAfterClientLeft {
 		c.counts.ranAfterClientLeft++
-		invariant.Assert(false, "an idempotent request does not stay at a backend after its client has left")
+		invariant.Assert(false, "an idempotent request ends within maxRunAfterClientLeft after its client has left")
 	}
 	if ending == control.Canceled && c.now >= t.deadline {
 		ending = control.TimedOut
@@ -268,7 +270,7 @@
 }
 
 // ClientLeft is called when a client no longer waits for its request. An idempotent request is canceled at its backend, because nobody
-// would receive the answer. An effectful request is not canceled, since it may have run and its effect is wanted.
+// would receive the answer. An effectful request is not canceled, because it may have run and the client wants its effect.
 func (c *Controller) ClientLeft(id control.TxnID) {
 	t := c.txns[id]
 	if t == nil || t.clientLeft {
@@ -286,12 +288,13 @@
 	c.forget(t)
 }
 
-// cancelSubmission cancels the submission in flight.
+// cancelSubmission cancels the submission in flight of a request.
 func (c *Controller) cancelSubmission(t *txn) {
 	c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 }
 
-// finish gives a request its final answer at once. It is the only place that does so. Reject promises that the request has not run and never will.
+// finish answers a request with Reject or Fail and removes it. No other function sends these answers. Reject guarantees that the request has not run
+// and never will.
 func (c *Controller) finish(t *txn, reason control.Reason, retryAfter time.Duration) {
 	if t.ended {
 		return
@@ -308,7 +311,8 @@
 	c.forget(t)
 }
 
-// forget removes a request. One with a submission in flight is kept until the outcome arrives.
+// forget ends a request. It removes the request from all tables, but keeps a request with a submission in flight in Controller.txns until that
+// submission has ended.
 func (c *Controller) forget(t *txn) {
 	t.ended = true
 	c.releaseUnits(t)
@@ -330,7 +334,7 @@
 	}
 }
 
-// releaseUnits gives up a request's reservation of units.
+// releaseUnits ends the reservation of a request's units, if there is one.
 func (c *Controller) releaseUnits(t *txn) {
 	if t.unitsReserved {
 		t.unitsReserved = false
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -9,41 +9,41 @@
 	"clovergap/control"
 )
 
-// backendState is what this node knows of one backend.
+// backendState holds the observations of this node for one backend.
 type backendState struct {
 	control.Endpoint
-	inFlight int
-	// pass is the point in virtual time at which the backend is next in turn, see the package comment.
+	inFlight int // requests of this node in flight at the backend
+	// pass is the point in virtual time at which the backend is chosen next, see the package comment.
 	pass float64
 
 	// Unanswered requests.
-	sentAt             time.Duration
-	unanswered         int           // requests sent since the last response
-	unansweredSince    time.Duration // when the first of these was sent
-	secondUnansweredAt time.Duration // when the second of these was sent
-	expectedLatency    time.Duration // highest typical latency among these
+	sentAt             time.Duration // when the last request was sent
+	unanswered         int           // requests in flight at the last response or sent since then
+	unansweredSince    time.Duration // when the first of the unanswered requests was sent, or the last response if later
+	secondUnansweredAt time.Duration // when the second of the unanswered requests was sent, or the last response if later
+	expectedLatency    time.Duration // highest typical latency of the kinds of requests sent since unanswered was 0
 
 	// Response times.
-	slowdown  float64
-	responses int // responses that have changed slowdown
+	slowdown  float64 // see the package comment
+	responses int     // number of responses that were used for slowdown
 
 	// Rejections and failures.
-	rejections    int           // consecutive
-	backoffUntil  time.Duration // no requests until then, after a rejection or a failed send
+	rejections    int           // consecutive rejections
+	backoffUntil  time.Duration // end of the backoff after a rejection or a request that could not be sent
 	failureShare  float64       // smoothed share of requests that failed
 	endedRequests int           // requests that were counted in failureShare
 	ejectionTime  time.Duration // length of the last ejection
-	ejectedUntil  time.Duration // no requests until then, if other backends are healthy
-	suspect       bool          // ejected, and no request has succeeded since
-	slowStartFrom time.Duration // time of the first success after the last ejection
+	ejectedUntil  time.Duration // end of the last ejection
+	suspect       bool          // the backend was ejected, and no request has succeeded since
+	slowStartFrom time.Duration // start of the slow start: the first success after the last ejection
 
 	outsideSubset bool
 }
 
-// slots returns the number of requests that a backend processes at a time, 1 at the least.
+// slots returns the number of requests that a backend processes at a time, which is at least 1.
 func (b *backendState) slots() float64 { return max(b.Capacity, 1) }
 
-// The indices of the backends in this node's zone and of all other backends.
+// Indices of arrays that hold one value for this node's zone and one for all other zones.
 const (
 	ownZone = iota
 	otherZones
@@ -57,12 +57,12 @@
 	zoneIndex int // index of this node among the nodes of its zone
 	zoneNodes int // number of nodes in this zone; 0 if unknown
 
-	// known holds all listed backends, and removed ones that still have requests in flight.
+	// known holds all listed backends, and the removed backends that still have requests in flight.
 	known map[control.BackendID]*backendState
 	// ordered holds the backends that are not removed, sorted by ID.
 	ordered []*backendState
-	slots   float64 // total of the ready backends
-	// virtualTime is that of stride scheduling, by ownZone and otherZones.
+	slots   float64 // total number of slots of the ready backends
+	// virtualTime is the highest pass of a backend that was chosen, by ownZone and otherZones.
 	virtualTime [2]float64
 	subset      subset
 
@@ -71,17 +71,17 @@
 	failureShare   float64                       // smoothed share of requests that failed
 	lastResponseAt time.Duration                 // time of the last response of any backend
 
-	inFlight    int
-	capacity    float64
-	saturatedAt time.Duration // when the capacity was last exhausted
+	inFlight    int           // requests of this node in flight at all backends
+	capacity    float64       // see the package comment
+	saturatedAt time.Duration // when a request last found no capacity, or was rejected by a backend
 
-	valueLoss            [2]float64 // mean value loss of responses, by ownZone and otherZones
-	lastRemoteResponseAt time.Duration
-	crossZoneShare       float64 // share of requests sent to other zones although this zone has capacity
+	valueLoss            [2]float64    // mean value loss of responses, by ownZone and otherZones
+	lastRemoteResponseAt time.Duration // time of the last response from another zone
+	crossZoneShare       float64       // share of requests sent to other zones although this zone has capacity
 	crossZoneUpdatedAt   time.Duration
 }
 
-// New returns a balancer without backends for one of several nodes that share the service.
+// New returns a balancer without backends. nodes is the number of nodes that share the service.
 func New(rng *rand.Rand, zone control.ZoneID, nodes int) *Balancer {
 	return &Balancer{
 		rng: rng, zone: zone, nodes: max(nodes, 1), saturatedAt: -time.Minute,
@@ -118,7 +118,7 @@
 
 func compareID(backend *backendState, id control.BackendID) int { return cmp.Compare(backend.ID, id) }
 
-// remove removes a backend from the order. Its requests in flight are still counted.
+// removeBackend removes a backend from ordered. The backend remains in known until it has no request in flight.
 func (b *Balancer) removeBackend(backend *backendState) {
 	if at, ok := slices.BinarySearchFunc(b.ordered, backend.ID, compareID); ok {
 		b.ordered = slices.Delete(b.ordered, at, at+1)
@@ -128,7 +128,8 @@
 	}
 }
 
-// updateSlots sums the slots of the ready backends. The capacity changes in proportion: if half the slots are gone, half the capacity is left.
+// updateSlots updates the total number of slots of the ready backends. The capacity changes in proportion: with half the slots, half the capacity is
+// left.
 func (b *Balancer) updateSlots() {
 	before := b.slots
 	b.slots = 0
@@ -146,11 +147,12 @@
 	b.updateSubset()
 }
 
+// boundCapacity limits the capacity to at least 1 and at most maxCapacityFactor times the slots.
 func (b *Balancer) boundCapacity() {
 	b.capacity = min(max(b.capacity, 1), max(1, maxCapacityFactor*b.slots))
 }
 
-// locality returns the index of a zone: ownZone or otherZones.
+// locality returns ownZone if a zone is this node's zone, and otherZones for all other zones.
 func (b *Balancer) locality(zone control.ZoneID) int {
 	if zone == b.zone {
 		return ownZone
@@ -173,28 +175,28 @@
 	return slices.ContainsFunc(b.ordered, r.mayGoTo)
 }
 
-// IsWarmingUp reports whether a backend is warming up or no longer known.
+// IsWarmingUp reports whether a backend is warming up. It also returns true for a backend that is not known any more.
 func (b *Balancer) IsWarmingUp(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
 	return backend == nil || now < backend.WarmingUntil
 }
 
-// IsEmpty reports whether the balancer knows no backend, which implies that no request is in flight.
+// IsEmpty reports whether the balancer knows no backend. If so, no request is in flight.
 func (b *Balancer) IsEmpty() bool { return len(b.known) == 0 }
 
 // InFlightCount returns the number of this node's requests in flight at the service.
 func (b *Balancer) InFlightCount() int { return b.inFlight }
 
-// Capacity returns the number of requests that this node may now have in flight at the service.
+// Capacity returns the number of requests that this node may have in flight at the service now.
 func (b *Balancer) Capacity() float64 { return b.capacity }
 
-// TypicalLatency returns the smoothed response time of a kind of request, or false while none has been answered.
+// TypicalLatency returns the typical latency of a kind of request. It returns false while no such request has been answered.
 func (b *Balancer) TypicalLatency(kind control.ProductID) (time.Duration, bool) {
 	seconds, ok := b.latency[kind]
 	return time.Duration(seconds * float64(time.Second)), ok
 }
 
-// RecordResume is called after a pause of this process that ended now. Backends are not blamed for responses that are missing because of the pause.
+// RecordResume records that a pause of this process ended now. Responses that are missing because of the pause do not count against the backends.
 func (b *Balancer) RecordResume(now time.Duration) {
 	for _, backend := range b.ordered {
 		backend.unansweredSince, backend.secondUnansweredAt = now, now
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -10,15 +10,16 @@
 	"clovergap/control"
 )
 
-// fixture is a balancer with backends 1 to 6, of which 1 to 3 are in its zone, and the response times and endings of the backends.
+// fixture is a balancer together with simulated backends. Unless a test sets other backends, it has backends 1 to 6, and its zone has 1 to 3.
 type fixture struct {
 	*Balancer
 	now           time.Duration
-	chosen        map[control.BackendID]int
-	responseTimes map[control.BackendID]time.Duration // 100 ms if not set
-	endings       map[control.BackendID]control.Ending
+	chosen        map[control.BackendID]int            // requests sent by the last sendRequests, by backend
+	responseTimes map[control.BackendID]time.Duration  // 100 ms if not set
+	endings       map[control.BackendID]control.Ending // Succeeded if not set
 }
 
+// newFixture returns a fixture with backends 1 to 6. seed is the seed of the random numbers.
 func newFixture(seed int64) *fixture {
 	f := &fixture{Balancer: New(rand.New(rand.NewSource(seed)), 0, 3), now: time.Second,
 		chosen: map[control.BackendID]int{}, responseTimes: map[control.BackendID]time.Duration{},
@@ -29,11 +30,13 @@
 	return f
 }
 
+// testEndpoint returns the entry of one of the backends 1 to 6 in the backend list.
 func (f *fixture) testEndpoint(id control.BackendID, state control.BackendState) control.Endpoint {
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
-// sendRequests sends n requests, one every 20 ms. Each ends before the next one is sent, so the numbers in flight do not influence the choice.
+// sendRequests sends n requests, one every 20 ms. Each request ends before the next is sent, so the number of requests in flight does not influence
+// the choice.
 func (f *fixture) sendRequests(n int, request Request) {
 	clear(f.chosen)
 	for range n {
@@ -52,14 +55,15 @@
 	}
 }
 
+// otherZoneRequestCount returns the number of requests that the last sendRequests sent to the other zone.
 func (f *fixture) otherZoneRequestCount() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
-// Checks when requests go to another zone: only if the backends of this zone are late, reject all requests or fail.
+// Guards against needless traffic between zones, and against requests that stay in a zone whose backends are late, reject all requests or fail.
 func TestRequestsLeaveZoneOnlyIfItIsLateOrFailing(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(300, Request{})
 	must.Zero(t, f.otherZoneRequestCount())
-	// Somewhat slower responses in this zone are no reason to leave it, but late ones are.
+	// Requests stay in this zone if its responses are somewhat slower. They leave it if its responses are late.
 	for i := range 3 {
 		f.responseTimes[control.BackendID(i+1)] = 200 * time.Millisecond
 	}
@@ -83,8 +87,8 @@
 	}
 }
 
-// Checks that a backend's share of the requests grows with a power of its speed, so that the responses of slow backends are not late. Checks also
-// that nodes with the same observations do not all choose the same backend.
+// Guards against late responses of slow backends and against nodes with the same observations that all choose the same backend. A backend's share of
+// the requests must grow with a power of its speed.
 func TestSharesFollowPowerOfSpeed(t *testing.T) {
 	firstChosen := map[control.BackendID]int{}
 	for seed := range int64(12) {
@@ -100,12 +104,13 @@
 	must.MapLen(t, 3, firstChosen)
 }
 
-// Checks that a failing backend gets few requests, and fewer effectful ones, until it has recovered, and that no backend is left out if all fail.
+// Guards against requests that fail at a failing backend. Until it has recovered, the backend gets few idempotent requests and even fewer effectful
+// requests. If all backends fail, all must still get requests.
 func TestFailingBackendIsEjectedUnlessAllFail(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(60, Request{})
 	f.endings[2] = control.ConnectionLost
-	f.sendRequests(300, Request{}) // six seconds
+	f.sendRequests(300, Request{}) // takes six seconds
 	must.Between(t, 2, f.chosen[2], 15)
 	f.sendRequests(300, Request{Effectful: true})
 	must.Less(t, 3, f.chosen[2])
@@ -124,7 +129,8 @@
 	}
 }
 
-// Checks that a backend that is warming up gets a reduced share, which grows to its full size, and that a draining backend gets no requests.
+// Guards against too many requests at a backend that is warming up, and against requests at a draining backend. A backend that is warming up gets a
+// reduced share, which grows to its full size.
 func TestWarmingUpBackendGetsReducedShareAndDrainingNone(t *testing.T) {
 	f := newFixture(1)
 	warmingUp := f.testEndpoint(7, control.Ready)
@@ -139,7 +145,8 @@
 	must.Greater(t, 85, f.chosen[7])
 }
 
-// Checks that a backend with unanswered requests gets few requests, and is dead once other backends have responded.
+// Guards against requests that wait for a backend that does not respond. A backend with unanswered requests gets no further requests, and is dead
+// once other backends have responded.
 func TestUnresponsiveBackendIsAvoidedAndDeclaredDead(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(100, Request{})
@@ -149,19 +156,19 @@
 	f.now += 250 * time.Millisecond
 	must.False(t, f.IsDead(f.now, 1))
 	f.now += 200 * time.Millisecond
-	must.False(t, f.IsDead(f.now, 1)) // no other backend has been asked since
+	must.False(t, f.IsDead(f.now, 1)) // no other backend has responded since
 	f.sendRequests(5, Request{Attempted: []control.BackendID{1}})
 	must.True(t, f.IsDead(f.now, 1))
 	for range 10 {
 		id, _ := f.Pick(f.now, Request{})
 		must.NotEq(t, 1, id)
 	}
-	f.RecordResume(f.now) // the process was paused, so the backend is not at fault
+	f.RecordResume(f.now) // after a pause of this process, missing responses do not count against the backend
 	must.False(t, f.IsDead(f.now, 1))
 }
 
-// Guards against a node of a large fleet that sends to each backend too rarely. Such a node learnt nothing of the backends and opened a new
-// connection for two of three requests. The subsets of the nodes are evenly distributed over the backends, without messages between nodes. Most
+// Guards against a node of a large deployment that sends to each backend too rarely. Such a node did not know the speed of the backends and opened a
+// new connection for two of three requests. The subsets of the nodes are evenly distributed over the backends, without messages between nodes. Most
 // requests go to the subset. Requests for which the subset has no capacity go to the other backends. If all backends of the subset are gone, all
 // requests go to the other backends.
 func TestSubsetsAreEvenAndFallBackToOtherBackends(t *testing.T) {
@@ -174,7 +181,7 @@
 			balancer.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
 		f := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
-		f.sendRequests(300, Request{}) // establishes the request rate
+		f.sendRequests(300, Request{}) // the balancer measures the request rate
 		inSubset := map[control.BackendID]bool{}
 		for _, b := range balancer.ordered {
 			if inSubset[b.ID] = !b.outsideSubset; !b.outsideSubset {
@@ -190,7 +197,7 @@
 		}
 		must.Between(t, 330, toSubset, 399)
 		var sentTo []control.BackendID
-		for range 24 { // none of them ends meanwhile
+		for range 24 { // none of these requests ends meanwhile
 			id, result := f.Pick(f.now, Request{})
 			must.Eq(t, Chosen, result)
 			f.RecordSent(f.now, id, Request{})
@@ -218,7 +225,7 @@
 }
 
 // Guards against a subset that is too large for the request rate. With a subset of twelve backends and three requests per second, nearly each of
-// the first requests opened a connection. A node of a very large fleet with few requests has a small subset, so that the node sends to each backend
+// the first requests opened a connection. A node of a very large deployment with few requests has a small subset, so that the node sends to each backend
 // of the subset before the idle connection is closed. The subset grows as soon as the request rate grows. At each request rate every backend is in
 // the subsets of about the same number of nodes. The backends outside a small subset get a few requests.
 func TestSubsetSizeFollowsRequestRate(t *testing.T) {
@@ -261,7 +268,7 @@
 		must.Between(t, 6, subsetSize(), 8)
 		toSubset := sendEvery(200, 300*time.Millisecond)
 		must.Between(t, 180, toSubset, 199)
-		must.Greater(t, 12, len(f.chosen)) // of 42, in a minute
+		must.Greater(t, 12, len(f.chosen)) // of 42 backends, in one minute
 		for _, b := range balancer.ordered {
 			if !b.outsideSubset {
 				nodesOf[b.ID]++
@@ -282,8 +289,8 @@
 	must.MapLen(t, backends, nodesOf)
 }
 
-// Guards against a balancer that draws no conclusion from canceled requests. An unresponsive backend is ejected although all its clients leave before
-// the deadline. A backend whose clients leave soon is not ejected.
+// Guards against a balancer that ignores canceled requests. If all clients leave an unresponsive backend before the deadline, no request times out, and
+// the backend must still be ejected. A backend whose clients leave within its usual response time must not be ejected.
 func TestUnresponsiveBackendIsEjectedWhenClientsLeaveFirst(t *testing.T) {
 	for _, leavesAfter := range []time.Duration{150 * time.Millisecond, 500 * time.Millisecond} {
 		f := newFixture(1)
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -10,7 +10,7 @@
 // RecordSent records that a request was sent to a backend.
 func (b *Balancer) RecordSent(now time.Duration, id control.BackendID, r Request) {
 	backend := b.known[id]
-	invariant.Assert(backend != nil && backend.State == control.Ready, "a request is sent to a ready backend only")
+	invariant.Assert(backend != nil && backend.State == control.Ready, "a request is sent only to a ready backend")
 	if backend == nil {
 		return
 	}
@@ -37,14 +37,14 @@
 // Outcome describes how a request ended at a backend.
 type Outcome struct {
 	Ending        control.Ending
-	Kind          control.ProductID
-	Took          time.Duration
-	LatencyTarget time.Duration // responses within this time have their full value; 0 means no target
-	ProcessPaused bool          // this process was paused during the request, so Took says nothing about the backend
-	ClientLeft    bool          // the client has left; a canceled request was canceled for this reason
+	Kind          control.ProductID // as in Request
+	Took          time.Duration     // time from sending the request to its end
+	LatencyTarget time.Duration     // responses within this time have their full value; 0 means no target
+	ProcessPaused bool              // this process was paused during the request, so Took says nothing about the backend
+	ClientLeft    bool              // the client has left; if Ending is Canceled, this is the reason
 }
 
-// RecordEnd records the end of a request. It is called once for each request that was sent.
+// RecordEnd records the end of a request. It must be called once for each request that was recorded with RecordSent.
 func (b *Balancer) RecordEnd(now time.Duration, id control.BackendID, outcome Outcome) {
 	backend := b.known[id]
 	invariant.Assert(backend != nil && backend.inFlight > 0, "a request that ends at a backend is in flight there")
@@ -77,7 +77,7 @@
 	}
 }
 
-// countEnded removes a request from those in flight and from those that the backend has not answered.
+// countEnded updates the numbers of requests in flight and of unanswered requests at the end of a request.
 func (b *Balancer) countEnded(now time.Duration, backend *backendState, ending control.Ending) {
 	backend.inFlight--
 	b.inFlight--
@@ -95,15 +95,14 @@
 	}
 }
 
-// unresponsiveWhenCanceled reports whether a backend was unresponsive when a request was canceled because its client had left. Such a
-// cancellation counts as a failure: if all clients leave early, no request times out, so that no time-out would show the failure.
+// wasUnresponsiveWhenCanceled reports whether a backend was unresponsive when a request was canceled because its client had left. Such a cancellation
+// counts as a failure. If all clients leave early, no request times out, so only cancellations show that the backend does not respond.
 func wasUnresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
 	return o.ClientLeft && !o.ProcessPaused && o.Took > backend.unresponsiveTime()
 }
 
-// recordRejection starts the backoff of a backend that rejected a request. The backoff doubles with each consecutive rejection. A rejection
-// lowers the capacity of this balancer, which is the number of requests that the node may have in flight at all backends of the service. It does
-// so only while the service's share of rejections is above rejectionThreshold, since a few rejections say nothing about the other backends.
+// recordRejection starts the backoff of a backend that rejected a request. The backoff doubles with each consecutive rejection. A rejection also lowers
+// the capacity while the service's share of rejections is above rejectionThreshold. A lower share of rejections says nothing about the other backends.
 func (b *Balancer) recordRejection(now time.Duration, backend *backendState) {
 	backoff := rejectionBackoff << min(backend.rejections, maxRejectionDoublings)
 	backend.backoffUntil = now + time.Duration(float64(backoff)*(rejectionJitterBase+b.rng.Float64()*rejectionJitter))
@@ -140,8 +139,8 @@
 	b.adjustCapacity(now, backend, late)
 }
 
-// adjustCapacity raises the capacity after a prompt response and lowers it after a late response, if the capacity was in use. A late response
-// of a backend that is warming up, or that is much slower than the others, says nothing about the capacity. So it does not lower the capacity.
+// adjustCapacity raises the capacity after a prompt response and lowers the capacity after a late response, if most of the capacity was in use. A late
+// response of a backend that is warming up, or that is much slower than the others, says nothing about the capacity and does not lower it.
 func (b *Balancer) adjustCapacity(now time.Duration, backend *backendState, late bool) {
 	used := float64(b.inFlight+1) >= minUtilization*b.capacity || now-b.saturatedAt < saturationTTL
 	switch {
@@ -153,9 +152,9 @@
 	b.boundCapacity()
 }
 
-// recordResult counts the end of a request as failed (1) or successful (0) and ejects a failing backend for a time. If all backends have
-// similar shares of failures, no single backend is at fault. So no backend is ejected for its share of failures then. A backend that accepts no
-// connection is ejected at once. Failures during an ejection do not extend the ejection, since the failed requests were in flight before it.
+// recordResult counts a request as failed (failed is 1) or successful (failed is 0) and ejects a failing backend for a time. If all backends have
+// similar shares of failures, no single backend is at fault, and no backend is ejected for its share of failures. A backend that accepts no connection
+// is ejected at once. Failures during an ejection do not extend it, because the failed requests were in flight before the ejection.
 func (b *Balancer) recordResult(now time.Duration, backend *backendState, failed float64, ending control.Ending) {
 	backend.endedRequests++
 	backend.failureShare += max(failureSmoothing, 1/float64(backend.endedRequests+1)) * (failed - backend.failureShare)
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -8,13 +8,14 @@
 	"clovergap/control"
 )
 
-// Request describes a request to choose a backend for.
+// Request describes a request for which a backend is chosen.
 type Request struct {
-	Kind      control.ProductID
-	Effectful bool                // it may run only once
-	Attempted []control.BackendID // backends that it has been sent to; none of these is chosen
+	Kind      control.ProductID   // requests of the same kind have similar latencies
+	Effectful bool                // the request may run only once
+	Attempted []control.BackendID // backends to which the request was sent; none of these is chosen again
 }
 
+// mayGoTo reports whether a backend is ready and the request has not been sent to it.
 func (r Request) mayGoTo(backend *backendState) bool {
 	return backend.State == control.Ready && !slices.Contains(r.Attempted, backend.ID)
 }
@@ -26,13 +27,13 @@
 const (
 	// Chosen means that a backend was chosen.
 	Chosen Result = iota
-	// Saturated means that there are backends for the request, but all have as many requests in flight as they may have.
+	// Saturated means that the request may be sent to a backend, but not now: this node has no capacity, or all these backends are busy.
 	Saturated
-	// NoBackend means that there is no backend for the request.
+	// NoBackend means that no ready backend is left to which the request has not been sent.
 	NoBackend
 )
 
-// Pick chooses a backend for a request. The caller reports with RecordSent that the request was sent there.
+// Pick chooses a backend for a request. If the caller sends the request there, it must call RecordSent.
 func (b *Balancer) Pick(now time.Duration, r Request) (control.BackendID, Result) {
 	if b.inFlight >= int(max(1, b.capacity)) {
 		b.saturatedAt = now
@@ -62,19 +63,20 @@
 	return b.pickLeastFailing(now, r)
 }
 
-// searchResult holds the backends whose turn is next, by ownZone and otherZones, and why others were passed over.
+// searchResult is the result of findNext.
 type searchResult struct {
-	next        [2]*backendState
-	nextPass    [2]float64
-	anyEligible bool // there is a backend that the request may be sent to
-	anyBusy     bool // there is a healthy backend that is busy
+	next        [2]*backendState // available backend with the lowest pass, by ownZone and otherZones; nil if there is none
+	nextPass    [2]float64       // pass of these backends
+	anyEligible bool             // there is a ready backend to which the request has not been sent
+	anyBusy     bool             // there is a healthy backend that is busy
 }
 
+// hasNext reports whether an available backend was found.
 func (s *searchResult) hasNext() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
 
-// search finds the backends whose turn is next by their pass. Each request in flight counts as one more stride. A random part is added, so that
-// nodes with the same observations do not all choose the same backend. excludeFailing leaves out backends that are too unreliable for effectful
-// requests.
+// findNext finds the available backend with the lowest pass in this zone and in the other zones. Each request in flight at a backend adds one stride
+// to its pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If
+// excludeFailing is set, backends that are too unreliable for effectful requests count as unhealthy.
 func (b *Balancer) findNext(now time.Duration, r Request, excludeFailing bool) searchResult {
 	var result searchResult
 	for _, backend := range b.ordered {
@@ -103,10 +105,11 @@
 
 const (
 	available availability = iota
-	busy                   // it has enough requests in flight, or has just rejected one
-	unhealthy              // it is ejected, unresponsive, or too unreliable for the request
+	busy                   // the backend has enough requests in flight or is in a backoff
+	unhealthy              // the backend is ejected, unresponsive, or too unreliable for the request
 )
 
+// availability returns whether a request may be sent to a backend now. For excludeFailing see findNext.
 func (b *Balancer) availability(now time.Duration, backend *backendState, r Request, excludeFailing bool) availability {
 	if backend.ejectedUntil > now || b.isUnresponsive(now, backend, r) {
 		return unhealthy
@@ -121,7 +124,7 @@
 	return available
 }
 
-// maxInFlight returns the number of this node's requests that may be in flight at a backend.
+// maxInFlight returns the maximum number of this node's requests in flight at a backend.
 func (b *Balancer) maxInFlight(now time.Duration, backend *backendState) int {
 	if backend.suspect || now < backend.WarmingUntil || backend.slowdown > overloadSlowdown || backend.rejections > 0 {
 		return 1
@@ -134,7 +137,7 @@
 	return max(1, int(n+0.5))
 }
 
-// stride returns the distance in virtual time between two requests to a backend, which is the inverse of its share.
+// stride returns the distance in virtual time between two requests to a backend, which is the inverse of the backend's share.
 func (b *Balancer) stride(now time.Duration, backend *backendState, r Request) float64 {
 	share := 1.0
 	if now < backend.WarmingUntil {
@@ -155,8 +158,8 @@
 	return math.Pow(min(max(backend.slowdown, minSlowdown), maxSlowdown), slowdownExponent) / (backend.slots() * share)
 }
 
-// pickLeastFailing chooses, among the failing and the unresponsive backends, the backend with the fewest failures and requests in flight. So some
-// backend is used even if all backends are unhealthy.
+// pickLeastFailing chooses the backend with the lowest sum of its share of failures, its requests in flight and a random number. It is called if all
+// backends are unhealthy, so that requests are still sent. It returns Saturated if all backends have their maximum number of requests in flight.
 func (b *Balancer) pickLeastFailing(now time.Duration, r Request) (control.BackendID, Result) {
 	var best *backendState
 	lowestPenalty := 0.0
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -6,8 +6,8 @@
 	"clovergap/control"
 )
 
-// unresponsive reports whether a backend has left requests unanswered for much longer than such requests usually take. Once per trialInterval it
-// returns false for an idempotent request nevertheless, so that this request probes the backend.
+// isUnresponsive reports whether a backend has left requests unanswered for much longer than such requests usually take. If no request was sent to
+// the backend for trialInterval, isUnresponsive returns false for an idempotent request, so that this request probes the backend.
 func (b *Balancer) isUnresponsive(now time.Duration, backend *backendState, r Request) bool {
 	if backend.unanswered == 0 {
 		return false
@@ -34,8 +34,9 @@
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
-// IsDead reports whether a request in flight at a backend is not worth waiting for. The backend must have left at least deadUnanswered requests
-// unanswered for long, and other backends must have responded meanwhile. For a backend that is suspect or gone, one such request suffices.
+// IsDead reports whether a backend is dead, so that its requests in flight should be sent to another backend. A dead backend has left at least
+// deadUnanswered requests unanswered for long, and other backends have responded meanwhile. For a backend that is suspect or gone, one unanswered
+// request suffices.
 func (b *Balancer) IsDead(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
 	if backend == nil || backend.unanswered == 0 {
--- a/internal/gateway/balancer/subset.go
+++ b/internal/gateway/balancer/subset.go
@@ -7,8 +7,8 @@
 	"clovergap/control"
 )
 
-// If a zone has many nodes and backends, a node that sent to all backends would send to each of them rarely. It would learn nothing of the
-// backend, and its connection to the backend would be closed between two requests. So each node sends mostly to a subset of the backends. The
+// If a zone has many nodes and backends, a node that sent to all backends would send to each of them rarely. The node would not know how fast a
+// backend is, and its connection to the backend would be closed between two requests. So each node sends mostly to a subset of the backends. The
 // zone's backends form a ring, and the subset is a range of consecutive backends on the ring. The node's index among the nodes of the zone
 // determines where the range starts. So each backend is in the subsets of about the same number of nodes, and the nodes exchange no messages for
 // this. The method is deterministic subsetting (SRE book, chapter 20) with ranges on a ring instead of shuffles. Backends outside the subset get
@@ -18,16 +18,16 @@
 // The size of the subset depends on the node's request rate. Each backend should get a request before its idle connection is closed, and
 // often enough that the node knows the backend's speed. A range that grows or shrinks keeps its start, so that its first backends stay in it.
 
-// subset holds the values that determine the size of this node's subset and the share of the backends outside the subset.
+// subset holds the request rate, the size of the subset that follows from the rate, and the share of the backends outside the subset.
 type subset struct {
-	sizeByRate   int           // by the request rate
+	sizeByRate   int           // size of the subset that follows from the request rate
 	rate         float64       // requests per second, smoothed
 	sent         int           // requests since countedSince
 	countedSince time.Duration // start of the present count
 	outsideShare float64       // factor on the share of a backend outside the subset
 }
 
-// SetZoneIndex sets the index of this node among the nodes of its zone, from 0, and their number.
+// SetZoneIndex sets the index of this node among the nodes of its zone, from 0, and the number of these nodes.
 func (b *Balancer) SetZoneIndex(index, nodes int) {
 	if nodes = max(nodes, 1); index < 0 || index >= nodes {
 		index = 0
@@ -58,7 +58,8 @@
 	}
 }
 
-// updateSubset determines which backends are in the subset. It is called after a change of the backend list, the nodes or the request rate.
+// updateSubset determines which backends are in the subset. It is called after a change of the backend list, of the nodes of the zone or of the size
+// that follows from the request rate.
 func (b *Balancer) updateSubset() {
 	ring := b.zoneRing()
 	n := len(ring)
@@ -78,7 +79,7 @@
 	}
 }
 
-// ring returns the ready backends of this zone, ordered by ID, which is a hash.
+// zoneRing returns the ready backends of this zone, ordered by ID. IDs are hashes, so the order is random but the same at all nodes.
 func (b *Balancer) zoneRing() (ring []*backendState) {
 	for _, backend := range b.ordered {
 		if backend.State == control.Ready && b.locality(backend.Zone) == ownZone {
@@ -88,9 +89,9 @@
 	return ring
 }
 
-// setInSubset moves a backend into the subset or out of the subset. The pass of a backend outside the subset is far ahead in virtual time. When the
-// backend enters the subset, its pass is set to about the present virtual time. The passes of backends that leave the subset are spread over
-// virtual time, so that these backends do not all get their small share at once.
+// setInSubset moves a backend into the subset or out of it. The pass of a backend outside the subset is far ahead in virtual time. When the backend
+// enters the subset, its pass is set to about the present virtual time. The passes of backends that leave the subset are distributed over virtual
+// time, so that these backends do not all get their next request at the same time.
 func (b *Balancer) setInSubset(backend *backendState, inside bool) {
 	switch {
 	case backend.outsideSubset && inside:
--- a/internal/gateway/balancer/tuning.go
+++ b/internal/gateway/balancer/tuning.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Shares are fractions of 1.
+// All constants whose names contain Share are fractions of 1, and so are thresholds of shares.
 
 // Statistics of responses.
 const (
-	// Weights of a new value in a smoothed value. slowdownSmoothing is the weight of a response in the backend's slowdown. latencySmoothing is the
-	// weight of a response in the typical latency of its kind of request. failureSmoothing is the weight of the end of a request in the backend's
-	// share of failures. serviceSmoothing is the weight of that end in the shares of rejections and failures of the whole service.
+	// The smoothing constants are weights of a new value in a smoothed value. slowdownSmoothing is the weight of a response in the slowdown of a
+	// backend. latencySmoothing is the weight of a response in the typical latency of its kind of request. failureSmoothing is the weight of the end
+	// of a request in the backend's share of failures. serviceSmoothing is the weight of the end of a request in the whole service's shares of
+	// rejections and failures.
 	slowdownSmoothing = 0.08
 	latencySmoothing  = 0.03
 	failureSmoothing  = 0.2
 	serviceSmoothing  = 0.03
-	// initialResponses is the weight, in responses, of the slowdown that a new backend starts with.
+	// initialResponses is the number of responses for which the initial slowdown (1) of a new backend counts.
 	initialResponses = 4
-	// maxLatencyFactor bounds the time of a response, as a multiple of the typical latency.
+	// maxLatencyFactor is the largest response time that the statistics use, as a multiple of the typical latency.
 	maxLatencyFactor = 5.0
-	// minLatencySeconds is the least time that a response counts as.
+	// minLatencySeconds is the smallest response time that the statistics use.
 	minLatencySeconds = 0.0005
 )
 
 // Share of a backend.
 const (
-	// A backend's share is slots / slowdown^slowdownExponent, so a fast backend gets more than its speed alone would give. The slowdown is
-	// bounded by minSlowdown and maxSlowdown.
+	// A backend's share is slots / slowdown^slowdownExponent. An exponent above 1 gives a fast backend more than a share in proportion to its speed.
+	// For the share, the slowdown is bounded by minSlowdown and maxSlowdown.
 	slowdownExponent = 1.6
 	minSlowdown      = 0.4
 	maxSlowdown      = 5.0
@@ -34,25 +35,27 @@
 	// over slowStartTime.
 	warmUpShare   = 0.25
 	slowStartTime = 2 * time.Second
-	// unprovenShare is the factor on the share of a backend that has answered nothing yet, unprovenEffectfulShare that for effectful requests.
+	// unprovenShare is the factor on the share of an unproven backend for idempotent requests. unprovenEffectfulShare is the factor for effectful
+	// requests.
 	unprovenShare          = 0.5
 	unprovenEffectfulShare = 0.3
-	// maxUnprovenInFlight is the largest number of requests in flight at such a backend.
+	// maxUnprovenInFlight is the maximum number of this node's requests in flight at an unproven backend.
 	maxUnprovenInFlight = 2
-	// maxLag is the largest number of strides by which a backend's pass may be behind the virtual time of the other backends. Without this bound, a
-	// backend that was idle would get all requests for a time.
+	// maxLag is the largest number of strides by which a backend's pass may be behind the virtual time of its zone. Without this bound, a backend that
+	// was idle would get all requests for a time.
 	maxLag = 2
 )
 
 // Rejections and failures.
 const (
-	// rejectionBackoff is the time for which a backend that rejected a request gets none. It doubles with each consecutive rejection, at most
-	// maxRejectionDoublings times.
+	// rejectionBackoff is the time for which a backend gets no requests after it rejected a request. The time doubles with each consecutive
+	// rejection, at most maxRejectionDoublings times.
 	rejectionBackoff      = 60 * time.Millisecond
 	maxRejectionDoublings = 5
-	// notSentBackoff is the time for which a backend gets no request after the host could not send one there.
+	// notSentBackoff is the time for which a backend gets no requests after the host could not send a request there.
 	notSentBackoff = 60 * time.Millisecond
-	// failureThreshold is the share of failures from which a backend is ejected, if it is also failureOutlierFactor times the share of the service.
+	// A backend is ejected if its share of failures is at least failureThreshold and at least failureOutlierFactor times the share of failures of
+	// the whole service.
 	failureThreshold     = 0.3
 	failureOutlierFactor = 2.0
 	// minEjectionTime is the length of the first ejection. Each further ejection lasts twice as long, up to maxEjectionTime.
@@ -62,7 +65,8 @@
 	// effectfulEjectionFactor times as long for effectful requests as for idempotent requests.
 	effectfulFailureThreshold = 0.3
 	effectfulEjectionFactor   = 3
-	// Backoffs and ejections are multiplied by a jitter base plus a random part of the jitter, so that nodes do not return to a backend together.
+	// The times of backoffs and ejections are multiplied by a jitter base plus a random fraction of the jitter, so that not all nodes send to a
+	// backend again at the same time.
 	rejectionJitterBase = 0.75
 	rejectionJitter     = 0.5
 	ejectionJitterBase  = 0.8
@@ -73,7 +77,7 @@
 const (
 	// A backend with several unanswered requests is unresponsive if it has not answered for more than unresponsiveFactor times the typical latency.
 	// For a backend with a single unanswered request the factor is singleUnresponsiveFactor. In both cases the time is at least minUnresponsiveTime.
-	// One idempotent request each trialInterval probes an unresponsive backend.
+	// An unresponsive backend is probed with one idempotent request each trialInterval.
 	unresponsiveFactor       = 4.0
 	singleUnresponsiveFactor = 8.0
 	minUnresponsiveTime      = 300 * time.Millisecond
@@ -99,7 +103,7 @@
 	rejectionCapacityLoss = 0.06
 	rejectionThreshold    = 0.05
 	// minUtilization is the share of the capacity that must be in use for a response to change the capacity. It is not required within
-	// saturationTTL after the capacity was exhausted.
+	// saturationTTL after a request found no capacity.
 	minUtilization = 0.7
 	saturationTTL  = 300 * time.Millisecond
 	// backendCapacityFactor bounds the requests in flight at one backend, as a multiple of its share of the capacity by its slots. A second bound is
@@ -114,7 +118,7 @@
 
 // Zones.
 const (
-	// crossZoneCost is the share of its value that a response from another zone loses, for the traffic between zones.
+	// crossZoneCost is the cost of the traffic for a request to another zone, as a fraction of a response's value.
 	crossZoneCost = 0.06
 	// The share of requests that leave the zone is updated once per crossZoneInterval. The excess loss is the value loss of this zone's responses
 	// minus the value loss of the other zones' responses minus crossZoneCost. If the excess loss is above 0, the share grows by crossZoneGain times
@@ -136,14 +140,14 @@
 
 // The subset.
 const (
-	// minSubset is the least number of backends in a node's subset.
+	// minSubset is the minimum number of backends in a node's subset, if the zone has that many.
 	minSubset = 4
-	// subsetSendInterval is the intended mean interval between two requests to a backend of the subset. The size of the subset follows from it.
+	// subsetSendInterval is the intended mean interval between two requests to a backend of the subset. It determines the size of the subset.
 	// Most backends close connections that were idle for ten seconds.
 	subsetSendInterval = 2 * time.Second
 	// maxSubsetByRate is the largest subset size that follows from the request rate.
 	maxSubsetByRate = 12
-	// nodesPerBackend is the least number of nodes whose subsets have a given backend.
+	// nodesPerBackend is the minimum number of nodes whose subsets contain a given backend, if the zone has that many nodes.
 	nodesPerBackend = 4
 	// outsideShare is the factor on the share of a backend outside the subset. maxOutsideTotal bounds the total share of the backends outside the
 	// subset, as a fraction of the total share of the backends in the subset.
--- a/internal/gateway/balancer/zones.go
+++ b/internal/gateway/balancer/zones.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// updateCrossZoneShare returns the share of requests that leave this zone although this zone has capacity. It updates the share once per
-// crossZoneInterval. The share grows while the value loss of this zone's responses exceeds that of the other zones' responses by more than
+// updateCrossZoneShare returns the share of requests that are sent to other zones although this zone has capacity. It updates the share at most once
+// per crossZoneInterval. The share grows while the value loss of this zone's responses exceeds that of the other zones' responses by more than
 // crossZoneCost. Otherwise the share shrinks. The share changes slowly, so that not all nodes send to a zone with little load at once.
 func (b *Balancer) updateCrossZoneShare(now time.Duration) float64 {
 	if now-b.crossZoneUpdatedAt < crossZoneInterval {
@@ -21,13 +21,13 @@
 	return b.crossZoneShare
 }
 
-// otherZonesAcceptable reports whether a request may leave this zone when this zone has no capacity. If the other zones are as overloaded as
-// this zone, the request would only displace another request there.
+// mayUseOtherZones reports whether a request may be sent to another zone when this zone has no capacity. If the other zones are as overloaded as this
+// zone, the request would only displace another request there.
 func (b *Balancer) mayUseOtherZones() bool {
 	return b.valueLoss[otherZones] < overloadValueLoss || b.valueLoss[otherZones]+crossZoneCost < b.valueLoss[ownZone]
 }
 
-// recordValueLoss records the share of its value that a response of a backend lost.
+// recordValueLoss updates the mean value loss of a backend's zone, or of all other zones, with the value loss of a response.
 func (b *Balancer) recordValueLoss(now time.Duration, backend *backendState, loss float64) {
 	locality := b.locality(backend.Zone)
 	if locality == otherZones {
--- a/internal/gateway/logentry/codec.go
+++ b/internal/gateway/logentry/codec.go
@@ -10,16 +10,17 @@
 	"clovergap/internal/invariant"
 )
 
-// Encode encodes an entry or a snapshot with gob. The value must consist of strings, numbers, booleans, and structs and slices of
-// these, for which gob encoding cannot fail.
+// Encode returns the gob encoding of an entry or a snapshot. The value must consist of strings, numbers, booleans, and structs and
+// slices of these, because gob cannot fail to encode such a value.
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(v)
-	invariant.Assert(err == nil, "gob encodes every log entry and snapshot")
+	invariant.Assert(err == nil, "gob encoding of a log entry or snapshot does not fail")
 	return b.Bytes()
 }
 
-// Decode decodes into v what Encode returned. The message of an error begins with what, which says what was read.
+// Decode decodes a value that Encode encoded, and stores it in v. The argument what describes the operation, such as "read snapshot".
+// An error's message begins with it.
 func Decode(b []byte, v any, what string) error {
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(v); err != nil {
 		return errors.Wrap(err, what)
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// KeepLast returns the last items of a list, at most limit of them.
+// KeepLast returns the last limit items of a list, or the whole list if it has no more than limit items.
 func KeepLast[T any](list []T, limit int) []T {
 	if len(list) > limit {
 		return slices.Clone(list[len(list)-limit:])
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -13,8 +13,8 @@
 // requests have the same digest by chance is 2^-65.
 type Digest [16]byte
 
-// DigestOf returns the digest of the concatenation of parts. All parts but the last must have a fixed length, so that different
-// parts never concatenate to the same bytes.
+// DigestOf returns the digest of the concatenation of parts. All parts but the last must have a fixed length, so that the
+// concatenations of different parts differ.
 func DigestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, p := range parts {
@@ -23,19 +23,20 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// DedupWindowBytes is the size in bytes of a window that holds at least the last 4,400 requests, or the last 6,700 if their
-// numbers are consecutive.
+// DedupWindowBytes is a maximum encoded size, in bytes, at which a window holds at least the last 4,400 requests, or the last 6,700
+// requests if their numbers are consecutive.
 const DedupWindowBytes = 112 << 10
 
-// ErrCorruptWindow is wrapped by the errors of DecodeDedupWindow.
+// ErrCorruptWindow is the cause of all errors that DecodeDedupWindow returns.
 var ErrCorruptWindow = errors.New("corrupt deduplication window")
 
-// DedupWindow records which requests were applied recently, so that a request that is sent again is recognized. Its encoding is
-// bounded in bytes, and the oldest requests are dropped to stay within the bound. The horizon is the highest request number that
-// may have been dropped. For a request that the window does not contain, it is unknown whether it was applied under a number up
-// to the horizon. Windows to which the same requests were added are equal.
+// DedupWindow records which requests were applied recently, so that a request that is sent again is recognized. Each applied request
+// has a number. The encoding of the window is bounded in bytes, and the oldest requests are dropped to stay within the bound. The
+// horizon is the highest number of a request that may have been dropped. If the window does not contain a request, that request may
+// have been applied under a number up to the horizon, but not under a higher number. Two windows with the same maximum size to which
+// the same requests were added are equal.
 type DedupWindow struct {
-	maxBytes int
+	maxBytes int       // maximum encoded size of the requests
 	bytes    int       // encoded size of the requests
 	requests []request // oldest first, with increasing numbers
 	digests  map[Digest]struct{}
@@ -53,16 +54,16 @@
 	return &DedupWindow{maxBytes: maxBytes, digests: map[Digest]struct{}{}}
 }
 
-// Has reports whether a request was applied and is still in the window.
+// Has reports whether the window contains a request with this digest.
 func (d *DedupWindow) Has(digest Digest) bool {
 	_, ok := d.digests[digest]
 	return ok
 }
 
-// Horizon returns the highest number of a request that may have been dropped, or 0 if none was.
+// Horizon returns the highest number of a request that may have been dropped, or 0 if no request was dropped.
 func (d *DedupWindow) Horizon() uint64 { return d.horizon }
 
-// newest returns the number of the last request, or the horizon if the window is empty.
+// newestNumber returns the number of the last request, or the horizon if the window is empty.
 func (d *DedupWindow) newestNumber() uint64 {
 	if len(d.requests) == 0 {
 		return d.horizon
@@ -70,9 +71,9 @@
 	return d.requests[len(d.requests)-1].number
 }
 
-// Add records that a request was applied. Its number must be above the number of every request before it.
+// Add records that a request was applied. The request's number must be higher than the number of every request added before.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
-	invariant.Assert(number > d.newestNumber(), "numbers of applied requests increase")
+	invariant.Assert(number > d.newestNumber(), "numbers of requests added to a deduplication window increase")
 	d.bytes += encodedSize(number - d.newestNumber())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
@@ -88,13 +89,13 @@
 	d.requests, d.horizon = d.requests[1:], oldest.number
 }
 
-// encodedSize returns the encoded size of a request whose number exceeds the number before it by difference.
+// encodedSize returns the encoded size of a request. difference is the request's number minus the number of the request before it.
 func encodedSize(difference uint64) int {
 	return len(binary.AppendUvarint(nil, difference)) + len(Digest{})
 }
 
-// Bytes returns the encoding of the window. It holds the horizon as a varint and then, for each request, the difference of its
-// number to the one before as a varint, followed by the digest.
+// Bytes returns the encoding of the window. The encoding begins with the horizon as a varint. For each request follow the difference
+// between its number and the number before it, as a varint, and its digest.
 func (d *DedupWindow) Bytes() []byte {
 	previous := d.horizon
 	b := binary.AppendUvarint(make([]byte, 0, d.bytes+binary.MaxVarintLen64), previous)
@@ -105,7 +106,7 @@
 	return b
 }
 
-// DecodeDedupWindow decodes a window that Bytes encoded.
+// DecodeDedupWindow decodes a window that Bytes encoded. The window drops requests beyond maxBytes.
 func DecodeDedupWindow(b []byte, maxBytes int) (*DedupWindow, error) {
 	d := NewDedupWindow(maxBytes)
 	horizon, size := binary.Uvarint(b)
@@ -127,8 +128,8 @@
 	return d, nil
 }
 
-// SetHorizon sets the horizon of a new window whose state comes from a version without a window. All requests up to the number
-// count as possibly dropped.
+// SetHorizon sets the horizon of a new window. It is called if the state was written by a version without a window. Every request with
+// a number up to the horizon then counts as possibly applied and dropped.
 func (d *DedupWindow) SetHorizon(number uint64) {
 	invariant.Assert(len(d.requests) == 0 && d.horizon == 0, "the horizon of a deduplication window is set only while it is new")
 	d.horizon = number
--- a/internal/gateway/logentry/dedupwindow_test.go
+++ b/internal/gateway/logentry/dedupwindow_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Compares windows of a few requests, whose numbers are close together or far apart, with the complete list of requests. The
-// window is encoded and decoded after each request.
+// Guards against a window that forgets requests above its horizon, or that exceeds its maximum size. Windows with room for a few
+// requests are compared with the complete list of requests. The numbers of the requests are close together or far apart. The window is
+// encoded and decoded after each request.
 func TestDedupWindowDropsOldestRequests(t *testing.T) {
 	digest := func(number uint64) Digest { return DigestOf([]byte(fmt.Sprint(number))) }
 	const maxBytes = 3*18 + 5
@@ -19,7 +20,7 @@
 			w.Add(number, digest(number))
 			numbers = append(numbers, number)
 			b := w.Bytes()
-			must.LessEq(t, maxBytes+10, len(b)) // 10 bytes more for the horizon
+			must.LessEq(t, maxBytes+10, len(b)) // the encoded horizon takes at most 10 more bytes
 			var err error
 			w, err = DecodeDedupWindow(b, maxBytes)
 			must.NoError(t, err)
--- a/internal/gateway/logentry/duration.go
+++ b/internal/gateway/logentry/duration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written in JSON as in the control API, as a number with the unit ms or s.
+// Duration is a time.Duration whose JSON encoding is a string in the format of the control API, such as "250ms" or "2s".
 type Duration time.Duration
 
 // MarshalText writes the duration in milliseconds.
--- a/internal/gateway/logentry/fielderror.go
+++ b/internal/gateway/logentry/fielderror.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// FieldError reports which field of a command or an entry is rejected, by the name that the caller wrote, and why.
+// FieldError says which field of a command or an entry is rejected, and why.
 type FieldError struct {
-	Field  string // such as "steps[1].share"
+	Field  string // path of the field in the JSON of the caller, such as "steps[1].share"
 	Reason string
 }
 
--- a/internal/gateway/logentry/fielderror_test.go
+++ b/internal/gateway/logentry/fielderror_test.go
@@ -16,7 +16,7 @@
 	}
 )
 
-// Guards against an error from which a caller can tell the rejected field only by parsing the text.
+// Guards against a validation error whose rejected field a caller can find only by parsing the text of the error.
 func TestValidateNamesTheField(t *testing.T) {
 	must.NoError(t, Validate(&testCommand{}))
 	err := errors.Wrap(Validate(&testCommand{Steps: []testStep{{}}}), "order")
--- a/internal/gateway/logentry/validate.go
+++ b/internal/gateway/logentry/validate.go
@@ -8,15 +8,15 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// validate is the validator of commands. It names fields by their json tags.
+// validate is the validator of commands. Its errors name fields by their json tags.
 var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("json") })
 	return v
 }()
 
-// Validate checks a command against its `validate` tags. It returns a FieldError for the first invalid field, under the name that
-// the caller wrote.
+// Validate checks a command against its `validate` tags. It returns a *FieldError for the first invalid field. The error names the
+// field by its path in JSON.
 func Validate(command any) error {
 	var fieldErrors validator.ValidationErrors
 	err := validate.Struct(command)
--- a/internal/gateway/membership/action.go
+++ b/internal/gateway/membership/action.go
@@ -5,13 +5,13 @@
 
 // The kinds of actions.
 const (
-	// Connect asks to keep a link to Addr from now on.
+	// Connect asks to establish a link to Addr, and to establish it again whenever it ends.
 	Connect ActionKind = iota
-	// Disconnect asks to close the link to Addr and to stop keeping it.
+	// Disconnect asks to close the link to Addr and not to establish it again.
 	Disconnect
 	// SendHello asks to send Addr the result of HelloTo.
 	SendHello
-	// Bootstrap asks to send Addr the Founders of the core. If Addr is this node, the host accepts them itself.
+	// Bootstrap asks to send the list of Founders of the core to Addr. If Addr is this node, the host stores the list itself.
 	Bootstrap
 	// LiveNodesChanged reports that the set of live nodes, their incarnations or the slot holders have changed.
 	LiveNodesChanged
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -7,29 +7,28 @@
 )
 
 const (
-	// bootstrapQuietPeriod is how long no further node with a disk must have appeared before the core is bootstrapped.
+	// bootstrapQuietPeriod is the time without a new node with a disk that must pass before the core is bootstrapped.
 	bootstrapQuietPeriod = 500 * time.Millisecond
-	// bootstrapTimeout is how long a seed waits for as many founders as ToleratedLosses needs. After it, the seed bootstraps the
-	// core with fewer.
+	// bootstrapTimeout is how long a seed waits for the number of founders that Config.ToleratedLosses requires, which is
+	// 2*ToleratedLosses+1. After that time the seed bootstraps the core with fewer founders.
 	bootstrapTimeout = 3 * time.Second
 	// bootstrapSeedInterval is the delay between the turns of consecutive seeds.
 	bootstrapSeedInterval = 2500 * time.Millisecond
-	// bootstrapRestartDelay is added to the delay of a seed that has run before, because another node may still appear with a
-	// state of the core.
+	// bootstrapRestartDelay is added to the delay of a seed that is not at its first start, because another node that holds a
+	// state of the core may still appear.
 	bootstrapRestartDelay = 6 * time.Second
-	// bootstrapContactTimeout is the maximum age of the last frame from a seed that counts as reached. It is less than
-	// livenessTimeout, because a node that was partitioned less than livenessTimeout ago still counts nodes as live that it no
-	// longer reaches. Such nodes must not count when the node decides to bootstrap the core (the replicated group of nodes that
-	// orders the configuration log).
+	// bootstrapContactTimeout is the maximum age of the last frame from a seed that counts as reachable for a bootstrap. It is
+	// less than livenessTimeout, because a node that was partitioned less than livenessTimeout ago still considers nodes live that
+	// it no longer reaches. Such nodes must not count when the node decides whether to bootstrap the core.
 	bootstrapContactTimeout = 1100 * time.Millisecond
 	// bootstrapResendInterval is the time between two messages to a founder that has not accepted the bootstrap.
 	bootstrapResendInterval = time.Second
 )
 
-// MaySendFounders reports whether the list of the founders of a cluster may be sent to a node. A seed holds a cluster if the list of
-// its founders is stored on the seed's disk. The list may be sent to seeds at any time, and each seed accepts only one cluster. The
-// list may be sent to all other nodes once more than half of the seeds hold the cluster. So at most one cluster can be sent to
-// nodes that are not seeds. A seed without a disk cannot hold a cluster. It counts as holding every cluster while it is live.
+// MaySendFounders reports whether the list of the founders of a cluster may be sent to a node. The list may be sent to seeds at any
+// time, and each seed stores only the first list that it receives. The list may be sent to all other nodes once more than half of
+// the seeds have stored it. So only the founders of a single cluster can be sent to nodes that are not seeds. A seed without a disk
+// cannot store a list. While such a seed is live, it counts as if it had stored every list.
 func (r *Roster) MaySendFounders(clusterID uint64, addr string) bool {
 	holding := 0
 	for _, seed := range r.config.Seeds {
@@ -41,7 +40,7 @@
 	return 2*holding > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
 }
 
-// clusterExists reports whether any node that this one has met holds a state of the core.
+// knowsExistingCluster reports whether any node from which this node has a hello holds a state of the core.
 func (r *Roster) knowsExistingCluster() bool {
 	for _, p := range r.peers {
 		if p.helloReceived && p.Bootstrapped {
@@ -52,19 +51,19 @@
 }
 
 // bootstrap creates the core at the first start of the deployment. To do so, a seed sends a bootstrap message with the list of
-// founders to each founder. The first seed in the settings bootstraps the core once no further node with a disk has appeared for
-// bootstrapQuietPeriod. A later seed does so only if the seeds before it are not live or have run before.
+// founders to each founder. The first seed in the settings bootstraps the core once no new node with a disk has appeared for
+// bootstrapQuietPeriod. A later seed bootstraps the core only if each seed before it is not live or is not at its first start.
 //
 // All seeds may be killed before the first bootstrap message is on disk. Then no seed is at its first start any more, and waiting
-// for a first start would never end. In this case the first live seed bootstraps the core after a longer delay. It requires as many
-// empty disks as a core needs, so that no earlier core can have acknowledged anything.
+// for such a seed would never end. In this case the first live seed bootstraps the core after a longer delay. The seed requires at
+// least 2*ToleratedLosses+1 empty disks, so that no earlier core can have acknowledged an entry.
 //
-// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node that it has met holds
-// a state of the core, or knows of a node that does. A seed also does not bootstrap the core without contact with more than half of
-// the seeds, because the two sides of a partition must not create two clusters (see MaySendFounders).
+// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node from which it has a
+// hello holds a state of the core, or knows a node that holds one. A seed also does not bootstrap the core without contact with more
+// than half of the seeds, because the two sides of a partition must not create two clusters (see MaySendFounders).
 //
-// The founders are chosen once in an incarnation. The message is sent again to founders that have not accepted it, because a link
-// may have lost the message.
+// The founders are chosen once in an incarnation. The message is sent again to founders that do not hold a state of the core yet,
+// because a link may have lost the message.
 func (r *Roster) bootstrap() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
@@ -85,7 +84,7 @@
 	}
 }
 
-// chooseFounders returns the founders, sorted by address, if this node has to bootstrap the core now. Otherwise it returns nil.
+// chooseFounders returns the founders, sorted by address, if this node has to bootstrap the core now, and nil otherwise.
 func (r *Roster) chooseFounders() []Founder {
 	seedIndex := slices.Index(r.config.Seeds, r.self.Addr)
 	startDelay := time.Duration(seedIndex) * bootstrapSeedInterval
@@ -111,8 +110,8 @@
 	return founders
 }
 
-// reachesSeedMajority reports whether this node, if it is a seed, and the seeds heard from within bootstrapContactTimeout are
-// together more than half of the seeds.
+// isSeedMajorityReachable reports whether more than half of the seeds are reachable. This node counts as reachable if it is a seed.
+// Another seed counts if it is live and a frame came from it within bootstrapContactTimeout.
 func (r *Roster) isSeedMajorityReachable() bool {
 	reached := 0
 	for _, seed := range r.config.Seeds {
@@ -124,8 +123,8 @@
 	return 2*reached > len(r.config.Seeds)
 }
 
-// founderCandidates returns the nodes whose disks can found the core. It returns false if a state of the core is known to exist,
-// or if a seed before this one has to bootstrap first.
+// founderCandidates returns the nodes that can be founders. It returns false if a state of the core is known to exist, or if it is
+// the turn of a seed before this node in the settings.
 func (r *Roster) founderCandidates(seedIndex int) (founders []Founder, ok bool) {
 	if r.self.Disk != 0 {
 		founders = append(founders, Founder{r.self.Disk, r.self.Addr})
@@ -137,7 +136,7 @@
 		if clusterKnown || goesFirst {
 			return nil, false
 		}
-		// The disk is empty, whichever incarnation of the node this is.
+		// At the first start of the deployment, a node that is no longer live is a candidate too: its disk is empty in any incarnation.
 		if p.Disk != 0 && (p.live || p.helloReceived && r.self.FirstStart) {
 			founders = append(founders, Founder{p.Disk, addr})
 		}
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -16,14 +16,14 @@
 
 // helloState records which hellos were sent to a peer and what the peer has acknowledged.
 type helloState struct {
-	sentAt time.Duration // time of the last hello
+	sentAt time.Duration // time of the last hello to the peer
 	// acknowledged is the fingerprint of the peer's description that the last hello to it acknowledged. 0 means none.
 	acknowledged uint64
 	repeats      int  // number of repeats since either side last changed
 	confirmed    bool // the peer has acknowledged this node's current description
 }
 
-// recordReceived updates the state with a hello that the peer sent. p is what was known of the peer before that hello.
+// recordReceived updates the state after the peer has sent a hello. p still has the values from before that hello.
 func (h *helloState) recordReceived(hello *Hello, p *peer, self *Node) {
 	h.confirmed = hello.Acknowledged == self.fingerprint()
 	if !p.helloReceived || p.fingerprint() != hello.Node.fingerprint() {
@@ -31,8 +31,8 @@
 	}
 }
 
-// needsRepeat reports whether a hello has to be sent again. To a peer that has sent no hello, hellos are repeated without limit.
-// To other peers they are repeated up to maxHelloRepeats times, until each side has acknowledged the other's current description.
+// needsRepeat reports whether a hello has to be sent to a peer again. If the peer has sent no hello, hellos are repeated without
+// limit. Otherwise hellos are repeated up to maxHelloRepeats times, until each side has acknowledged the other's description.
 func (h *helloState) needsRepeat(p *peer, now time.Duration) bool {
 	if !p.linkWanted || !p.linkUp || now-h.sentAt < helloInterval {
 		return false
@@ -40,7 +40,7 @@
 	return !p.helloReceived || h.repeats < maxHelloRepeats && (h.acknowledged != p.fingerprint() || !h.confirmed)
 }
 
-// sendHello asks the host to send a hello over a link that is up.
+// sendHello asks the host to send a hello to a peer. The link to the peer must be up.
 func (r *Roster) sendHello(addr string, p *peer) {
 	p.hello.sentAt, p.hello.acknowledged = r.now, 0
 	if p.helloReceived {
@@ -49,7 +49,7 @@
 	r.addAction(Action{Kind: SendHello, Addr: addr})
 }
 
-// repeatHello sends the hello again if needsRepeat reports that it is needed.
+// repeatHelloIfNeeded sends a hello to a peer again if needsRepeat returns true.
 func (r *Roster) repeatHelloIfNeeded(addr string, p *peer) {
 	if p.hello.needsRepeat(p, r.now) {
 		p.hello.repeats++
@@ -57,7 +57,7 @@
 	}
 }
 
-// helloAll sends hellos to all linked nodes, because this node's description has changed.
+// sendHelloToAll sends hellos to all linked nodes after this node's description has changed.
 func (r *Roster) sendHelloToAll() {
 	for _, addr := range r.Addrs() {
 		p := r.peers[addr]
@@ -69,8 +69,8 @@
 }
 
 // HelloTo returns this node's hello to another node. The hello names the nodes with a disk. A hello to a node with a disk also
-// names the nodes without a disk that have no slot yet. Slot holders are omitted because they are in the core's log, which all
-// nodes follow. Naming them in each hello would make the traffic grow with the square of the number of nodes.
+// names the nodes without a disk that have no slot yet. Other slot holders are omitted because all nodes know them from the core's
+// log. Naming them in each hello would make the traffic grow with the square of the number of nodes.
 func (r *Roster) HelloTo(addr string) Hello {
 	to := r.peers[addr]
 	hello := Hello{Node: r.self, ClusterExists: r.knowsExistingCluster()}
@@ -86,8 +86,8 @@
 	return hello
 }
 
-// HandleHello processes a hello that another node sent. The node is identified by the address that its frames come from, whatever
-// address the hello gives.
+// HandleHello processes a hello that another node sent. The other node is identified by the address from which its frames come, and
+// not by the address in the hello.
 func (r *Roster) HandleHello(from string, hello Hello) {
 	p := r.findOrAddPeer(from)
 	if p == nil {
@@ -106,8 +106,8 @@
 	r.updateLink(from, p)
 	switch {
 	case clusterExisted && !r.knowsExistingCluster():
-		// The peer held a bootstrap that no other node joined, and dropped it. The nodes that learned of that bootstrap from this
-		// node must not keep waiting for it.
+		// The peer had stored a list of founders that no other founder stored, and has discarded the list. Nodes that learned from
+		// this node that a cluster exists must learn that none exists, because they do not bootstrap the core until then.
 		r.sendHelloToAll()
 	case clusterExisted != r.knowsExistingCluster():
 		r.notifySeedsOfCluster()
@@ -122,7 +122,7 @@
 	r.refresh()
 }
 
-// addAdvertised adds the addresses that another node named in its hello.
+// addAdvertisedNodes adds the nodes whose addresses another node named in its hello.
 func (r *Roster) addAdvertisedNodes(addrs []string) {
 	for _, addr := range addrs {
 		if p := r.findOrAddPeer(addr); p != nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-// sendHelloToDiskless sends hellos, which name the nodes with a disk, to the linked nodes without one. A node that dialed this
-// node as a seed waits for such a name.
+// sendHelloToDiskless sends hellos to the linked nodes without a disk. A hello names the nodes with a disk. A node without a disk that
+// dialed this node as a seed needs the address of a node with a disk.
 func (r *Roster) sendHelloToDiskless() {
 	for _, addr := range r.Addrs() {
 		if p := r.peers[addr]; p.linkUp && p.Disk == 0 {
@@ -142,8 +142,8 @@
 	}
 }
 
-// notifySeeds sends hellos to the seeds that may still bootstrap the core, because it has become known that a core exists. The
-// seeds may not reach the node that holds its state.
+// notifySeedsOfCluster sends hellos to the seeds that may still bootstrap the core, after this node has learned that a core exists.
+// The seeds may not reach the node that holds the state of the core.
 func (r *Roster) notifySeedsOfCluster() {
 	for _, addr := range r.config.Seeds {
 		if p := r.peers[addr]; p != nil && p.linkUp && p.helloReceived && p.FirstStart && !p.Bootstrapped {
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -7,19 +7,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// Whichever hellos are lost, when a link comes up or after one of the nodes has changed, each node finally knows the other's
-// current description and then sends no more hellos. Guards against sending hellos only once per link: two of three members never
-// sent a hello to a node that had lost power, and the node followed the third member until it made no more progress (incident
-// mvk-anadolu 7).
+// Guards against a lost hello that is not sent again. When hellos were sent only once per link, two of three members never sent a
+// hello to a node that had lost power. The node then followed the third member even after that member had stopped making progress
+// (incident mvk-anadolu 7). Whichever hellos are lost, each of two linked nodes must learn the other's current description, and must
+// then send no more hellos.
 func TestLostHelloIsRepeated(t *testing.T) {
-	// The number of first hellos, counted over both nodes together, that may be lost. Bit i of lost says that hello i+1 is lost.
-	// The count starts again when the description of disk changes.
+	// Each of the first hellos, counted over both nodes together, is delivered or lost. hellos is the number of these hellos. Bit i of
+	// lost is 1 if hello i+1 is lost. The count starts again when the description of the node "disk" changes.
 	const hellos = 5
 	for lost := range 1 << hellos {
 		now := time.Minute
 		node := New(Node{Addr: "node", Incarnation: 2}, Config{Seeds: []string{"disk"}}, now)
 		disk := New(Node{Addr: "disk", Disk: 7, Bootstrapped: true, Incarnation: 9}, Config{Seeds: []string{"disk"}}, now)
-		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // from the node's earlier incarnation
+		disk.HandleHello("node", Hello{Node: Node{Addr: "node", Incarnation: 1}}) // from the earlier incarnation of node
 		takeActions(disk)
 		node.LinkUp("disk")
 		disk.LinkUp("node")
@@ -44,7 +44,7 @@
 			}
 			for _, r := range []*Roster{node, disk} {
 				r.Tick(now)
-				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames keep both reachable
+				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames keep both nodes reachable
 			}
 			carry(node, disk)
 			carry(disk, node)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Guards against unlimited repeats. A peer whose version does not acknowledge hellos gets a limited number of repeats, and a peer
-// that has acknowledged this incarnation gets none.
+// Guards against unlimited repeats of hellos. A peer whose version does not acknowledge hellos gets a limited number of repeats. A
+// peer that has acknowledged this node's description gets none.
 func TestHelloRepeatsAreBounded(t *testing.T) {
 	me := Node{Addr: "disk", Disk: 7, Incarnation: 7, Bootstrapped: true}
 	for _, acknowledged := range []uint64{0, me.fingerprint()} {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Every field that other nodes act on changes the fingerprint.
+// Guards against a change of a description that does not change its fingerprint, so that other nodes would not learn of the change.
 func TestEveryFieldChangesFingerprint(t *testing.T) {
 	seen := map[uint64]Node{}
 	for incarnation := range uint64(4) {
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// passiveDialDelay is how long this node waits for a node without a disk, which has sent nothing yet, to dial first. After
-	// it, this node dials, because the other node may not be able to establish the link itself.
+	// passiveDialDelay is how long a node with a disk waits for a node without a disk, which has sent nothing yet, to dial first.
+	// After this delay the node with a disk dials, because the other node may not be able to establish the link itself.
 	passiveDialDelay = 2 * time.Second
 	// disklessLinkTimeout is how long a node without a disk keeps its link to another node without a disk after that node's last
 	// hello.
 	disklessLinkTimeout = 5 * time.Second
 )
 
-// updateLink decides whether this node keeps a link to a node, and asks the host to connect or disconnect if that changes. Nodes
-// with a disk keep links to all nodes, and the other nodes keep links only to nodes with a disk. The number of links and their
+// updateLink decides whether this node keeps a link to a node, and asks the host to connect or disconnect if the decision changes.
+// Nodes with a disk keep links to all nodes, and the other nodes keep links only to nodes with a disk. The number of links and their
 // traffic then grow with the number of nodes and not with the square of that number. Two nodes without a disk are linked only while
-// one of them may know no other node. A node without a disk dials its seeds until it has a slot and knows a live node with a disk,
-// and the seeds keep their side of the link meanwhile.
+// one of the two may not know any other node yet. A node without a disk dials its seeds until slots are assigned and a node with a
+// disk is live. Until then the seeds also keep their links to that node.
 //
-// A node with a disk lets a node without one, which has sent nothing yet, dial first. Otherwise a node with a disk that starts
-// would know hundreds of nodes from their slots, and would dial all of them while all of them dial it.
+// A node with a disk waits until a node without a disk has dialed first, or until passiveDialDelay has passed. Otherwise a node with
+// a disk that restarts would know hundreds of slot holders, and would dial all of them while all of them dial it.
 func (r *Roster) updateLink(addr string, p *peer) {
 	isPresent := p.helloReceived || r.now-p.receivedAt < livenessTimeout || r.now-p.discoveredAt >= passiveDialDelay
 	hasRecentHello := r.now-p.helloAt < disklessLinkTimeout
@@ -37,8 +37,8 @@
 	p.linkWanted = want
 }
 
-// attached reports whether this node no longer needs its seeds, because the log has assigned slots and a node with a disk is
-// live.
+// hasJoinedCluster reports whether the log has assigned slots and a node with a disk is live. This node then no longer needs links
+// to seeds without a disk.
 func (r *Roster) hasJoinedCluster() bool {
 	if len(r.slotHolders) == 0 {
 		return false
@@ -51,8 +51,8 @@
 	return false
 }
 
-// SetSeeds sets the seeds from the current settings. The bootstrap still uses the seeds from the start of the process, which are
-// the same at all nodes.
+// SetSeeds sets the seeds from the current settings. The bootstrap continues to use the seeds from the start of the process
+// (Config.Seeds), because these are the same at all nodes.
 func (r *Roster) SetSeeds(addrs []string) {
 	r.seeds = addrs
 	for _, addr := range addrs {
@@ -67,7 +67,7 @@
 	if p := r.peers[addr]; p != nil {
 		p.linkUp = true
 		r.sendHello(addr, p)
-		r.refresh() // the peer's own hello may have come before
+		r.refresh() // the peer's hello may have arrived before the link came up
 	}
 }
 
@@ -79,10 +79,11 @@
 	}
 }
 
-// LinkReport counts this node's links for operators. They look at it first when a node reaches fewer nodes than the others do.
+// LinkReport describes this node's links. Operators use it to find out why a node reaches fewer nodes than other nodes do.
 type LinkReport struct {
+	// Wanted is the number of links that this node wants to keep. Connected is the number of these that are up.
 	Wanted, Connected int
-	// WithoutHello lists the addresses of nodes whose link is up but that have sent no hello, sorted.
+	// WithoutHello lists the addresses of the nodes whose link is up and that have sent no hello, sorted.
 	WithoutHello []string
 }
 
@@ -105,8 +106,8 @@
 	return report
 }
 
-// LinkedDiskNodes returns the other nodes with a disk whose links are up, live or not, sorted by address. A caller that finds no
-// live node in the reports it received can ask these, because one of them may know more.
+// LinkedDiskNodes returns the other nodes with a disk whose links are up, sorted by address. The nodes need not be live. A caller
+// for which no node is live can ask these nodes, because one of them may have newer information.
 func (r *Roster) LinkedDiskNodes() (nodes []Node) {
 	for _, addr := range r.Addrs() {
 		if p := r.peers[addr]; p.linkUp && p.helloReceived && p.Disk != 0 {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// livenessTimeout is how long a node counts as reachable after the last frame from it. It covers three heartbeats of 700 ms
-	// (package node) and 100 ms for their transit.
+	// livenessTimeout is how long a node counts as reachable after its last frame. The time covers three heartbeat intervals of
+	// 700 ms (package node) and 100 ms of transit.
 	livenessTimeout = 2200 * time.Millisecond
 	// stallThreshold is the step of the clock above which this process is assumed to have been stalled.
 	stallThreshold = time.Second
-	// forgetAfter is how long after the last frame from it a node is forgotten, unless it is a seed or has a slot.
+	// forgetAfter is the time after a node's last frame at which the node is forgotten, unless it is a seed or has a slot.
 	forgetAfter = 90 * time.Second
 	// refreshInterval is the maximum time between two evaluations of liveness, links and hellos.
 	refreshInterval = 200 * time.Millisecond
-	// maxHeartbeatTargets is the number of nodes to which a node without a disk sends heartbeats. If one of them is lost and
-	// another one is partitioned, the third still receives the heartbeats.
+	// maxHeartbeatTargets is the maximum number of nodes to which a node without a disk sends heartbeats. If one of the three is
+	// lost and another one is partitioned, the third still receives the heartbeats.
 	maxHeartbeatTargets = 3
 )
 
-// livenessReport is the last report from another node. It is a bit set of slots, either those that the sender reaches itself
-// (ReachableSlots) or those that it considers live (LiveSlots).
+// livenessReport is the last report from another node. Its bit set contains either the slots that the sender reaches itself (see
+// ReachableSlots) or the slots that the sender considers live (see LiveSlots).
 type livenessReport struct {
 	slots      []byte
 	receivedAt time.Duration
 }
 
-// ringPosition returns the position of an address on the hash ring. It is an FNV-1a hash whose bits are mixed further, because
-// addresses often differ only in their last digits.
+// ringPosition returns the position of an address on the hash ring. The position is an FNV-1a hash whose bits are mixed further,
+// because addresses often differ only in their last digits.
 func ringPosition(addr string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := range len(addr) {
@@ -40,8 +40,9 @@
 	return hash ^ hash>>29
 }
 
-// HeartbeatTargets returns the addresses to which this node sends heartbeats. A node with a disk sends them to all other nodes
-// with a disk. While no node with a disk is known, or no node has a slot, each node sends them over all its links.
+// HeartbeatTargets returns the addresses to which this node sends heartbeats. A node with a disk sends heartbeats to all other nodes
+// with a disk. A node without a disk sends them to at most maxHeartbeatTargets live nodes with a disk. If there is no such node, or
+// if no node has a slot, each node sends heartbeats over all its links.
 func (r *Roster) HeartbeatTargets() (addrs []string) {
 	for addr, p := range r.peers {
 		if p.helloReceived && p.Disk != 0 && (p.live || r.self.Disk != 0) {
@@ -71,16 +72,17 @@
 }
 
 // Prefers reports whether the node at the address "from" prefers the node at the address "a" to the node at the address "b". A
-// node without a disk uses it to choose its upstream, the node whose log stream it applies, among nodes that rank equally. Each
-// node has its own order of preference, so that the nodes do not all choose the same upstream.
+// node without a disk uses this order to choose its upstream among nodes that are equally suitable. The upstream is the node whose
+// log stream it applies. Each node has its own order, so that the nodes do not all choose the same upstream.
 func Prefers(from, a, b string) bool {
 	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
 	return x < y || x == y && a < b
 }
 
+// hasSlot reports whether a bit set contains a slot.
 func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
-// slotSet returns a bit set with a bit for each slot whose holder's address satisfies the predicate.
+// slotSet returns the bit set of the slots for whose holder's address include returns true.
 func (r *Roster) slotSet(include func(addr string) bool) []byte {
 	set := make([]byte, (len(r.slotHolders)+7)/8)
 	for i, holder := range r.slotHolders {
@@ -91,19 +93,19 @@
 	return set
 }
 
-// reachable reports whether any frame came from a node within livenessTimeout. It is always true for this node, and false for a
+// isReachable reports whether any frame came from a node within livenessTimeout. It is always true for this node, and false for a
 // node that has sent no hello.
 func (r *Roster) isReachable(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.helloReceived && r.now-p.receivedAt < livenessTimeout
 }
 
-// ReachableSlots returns the bit set of the slots that this node reaches itself. Nodes with a disk report it to each other. It
-// includes nothing that other nodes reported. Otherwise two nodes could repeat each other's reports, and would count a dead node as
-// live without end.
+// ReachableSlots returns the bit set of the slots whose holders this node reaches itself. Nodes with a disk report this set to each
+// other. The set includes nothing that other nodes reported. Otherwise two nodes could repeat each other's reports and count a dead
+// node as live forever.
 func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.isReachable) }
 
-// LiveSlots returns the bit set of the slots of live nodes. Nodes with a disk report it to their followers.
+// LiveSlots returns the bit set of the slots of live nodes. Nodes with a disk report this set to the nodes that follow them.
 func (r *Roster) LiveSlots() []byte {
 	return r.slotSet(func(addr string) bool { return r.isReachable(addr) || r.isReportedLive(r.Slot(addr)) })
 }
@@ -118,7 +120,7 @@
 	r.refresh()
 }
 
-// reportedLive reports whether a reachable node has reported a slot within livenessTimeout.
+// isReportedLive reports whether a node that is reachable has sent, within livenessTimeout, a report that contains a slot.
 func (r *Roster) isReportedLive(s Slot) bool {
 	for from, report := range r.livenessReports {
 		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
@@ -158,6 +160,7 @@
 	r.bootstrap()
 }
 
+// forgetPeer removes a peer and asks the host to close the link to it.
 func (r *Roster) forgetPeer(addr string, p *peer) {
 	delete(r.peers, addr)
 	if p.linkWanted {
@@ -165,7 +168,7 @@
 	}
 }
 
-// IsLive reports whether a node is live, as defined in the package's comment. This node is always live.
+// IsLive reports whether a node is live, as defined in the package comment. This node is always live.
 func (r *Roster) IsLive(addr string) bool {
 	p := r.peers[addr]
 	return addr == r.self.Addr || p != nil && p.live
--- a/internal/gateway/membership/liveness_test.go
+++ b/internal/gateway/membership/liveness_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each node without a disk chooses an upstream, the node with a disk whose log stream it applies. Guards against nodes that are in a
-// zone without a disk and all choose the first upstream by address. With six nodes with a disk, the first of the six then received
-// twice the mean load.
+// Each node without a disk chooses an upstream, which is the node with a disk whose log stream it applies. Guards against the fault
+// that all nodes in a zone without a disk chose the first upstream by address. With six nodes with a disk, the first of the six
+// then received twice the mean load.
 func TestNodesPreferDifferentUpstreams(t *testing.T) {
 	const nodes, disks = 600, 6
 	preferredBy := map[string]int{}
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -13,15 +13,15 @@
 // Node is a node's description of itself.
 type Node struct {
 	Name         string
-	Addr         string // address at which it accepts links: IP and first inner port
-	ControlAddr  string // address at which it accepts control calls
+	Addr         string // where the node accepts links: IP and first inner port
+	ControlAddr  string // where the node accepts control calls
 	Zone         string
 	Disk         DiskID
 	FirstStart   bool   // this is the first start of the whole deployment
 	Incarnation  uint64 // drawn at random at each start of the process
-	Bootstrapped bool   // its disk holds a state of the core
-	Leaving      bool   // it is shutting down
-	ClusterID    uint64 // the cluster to which the state on its disk belongs; 0 if there is no state
+	Bootstrapped bool   // the node's disk holds a state of the core
+	Leaving      bool   // the node is shutting down
+	ClusterID    uint64 // ID of the cluster whose state the node's disk holds; 0 if it holds none
 }
 
 // The parameters of the 64-bit FNV-1a hash.
@@ -31,7 +31,7 @@
 )
 
 // fingerprint returns a hash (FNV-1a over 64-bit words) that distinguishes descriptions of a node by the fields that other nodes
-// act on. It is never 0. It must be cheap, because it is computed for each peer several times a second.
+// act on. The hash is never 0. It must be cheap, because it is computed for each peer several times a second.
 func (n *Node) fingerprint() uint64 {
 	flags := uint64(0)
 	if n.Bootstrapped {
@@ -48,12 +48,12 @@
 	return max(hash, 1)
 }
 
-// Hello is the message that nodes send each other when a link comes up and when any of its content changes.
+// Hello is the message that nodes send each other when a link comes up and when their description of themselves changes.
 type Hello struct {
 	Node          Node     // the sender
-	KnownAddrs    []string // addresses of nodes that the receiver has to know
-	ClusterExists bool     // a node that the sender has met holds a state of the core
-	ChunkedCalls  bool     // the sender's version accepts large calls in chunks
+	KnownAddrs    []string // addresses of nodes of which the receiver may not know
+	ClusterExists bool     // a node from which the sender has a hello holds a state of the core
+	ChunkedCalls  bool     // the sender accepts large calls in several chunks
 	// Acknowledged is the fingerprint of the receiver's description as the sender knows it. 0 means that the sender knows none.
 	Acknowledged uint64
 }
@@ -64,6 +64,6 @@
 	Addr string
 }
 
-// SlotHolder is a node as the core's log recorded it when assigning its slot. The log and its snapshots store it under these
-// field names.
+// SlotHolder describes a node that has a slot, as recorded in the core's log. The log and its snapshots store these fields under
+// their names here.
 type SlotHolder struct{ Name, Addr, Control, Zone string }
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -10,25 +10,25 @@
 
 // Config describes the deployment to a roster. It is the same at all nodes.
 type Config struct {
-	Seeds           []string               // inner addresses in the order of the settings; if empty, no node bootstraps
+	Seeds           []string               // inner addresses in the order of the settings; if empty, no node bootstraps the core
 	ToleratedLosses int                    // number of nodes with a disk that may be lost at once
 	ClusterID       func([]Founder) uint64 // returns the ID of the cluster of these founders; never 0
 }
 
 // Roster holds one node's knowledge of all nodes. It is not safe for concurrent use.
 type Roster struct {
-	now, startedAt time.Duration // on the host's clock
+	now, startedAt time.Duration // time of the last Tick and of New, on the host's clock
 	self           Node
 	config         Config
-	seeds          []string // from the current settings; config.Seeds are those from the start
+	seeds          []string // from the current settings; config.Seeds holds those from the start
 
-	peers           map[string]*peer // by address
-	slots           map[string]Slot  // by address
-	slotHolders     []SlotHolder     // by slot
-	livenessReports map[string]livenessReport
-	refreshedAt     time.Duration
+	peers           map[string]*peer          // by address
+	slots           map[string]Slot           // by address
+	slotHolders     []SlotHolder              // by slot
+	livenessReports map[string]livenessReport // by address of the sender
+	refreshedAt     time.Duration             // time of the last refresh
 
-	lastDiskAt      time.Duration            // when this node last met a new node with a disk
+	lastDiskAt      time.Duration            // when a node with a new disk last sent a hello
 	founders        []Founder                // chosen by this node; nil if it has chosen none
 	bootstrapSentAt map[string]time.Duration // time of the last bootstrap message to each founder, by address
 
@@ -39,16 +39,16 @@
 // peer is another node. Until it has sent a hello, only the address in its Node is set.
 type peer struct {
 	Node
-	helloReceived bool          // it has sent a hello
-	knowsCluster  bool          // it has met a node that holds a state of the core
-	advertised    bool          // another node named its address
-	linkWanted    bool          // this node keeps a link to it
-	linkUp        bool          // the link to it is up
-	receivedAt    time.Duration // when the last frame came from it
-	discoveredAt  time.Duration
-	helloAt       time.Duration // when it last sent a hello
-	hello         helloState
-	live          bool
+	helloReceived bool          // the peer has sent a hello
+	knowsCluster  bool          // the peer has a hello from a node that holds a state of the core
+	advertised    bool          // another node named the peer's address in a hello
+	linkWanted    bool          // this node keeps a link to the peer
+	linkUp        bool          // the link to the peer is up
+	receivedAt    time.Duration // when the last frame came from the peer
+	discoveredAt  time.Duration // when this node learned of the peer
+	helloAt       time.Duration // when the peer last sent a hello
+	hello         helloState    // hellos sent to the peer
+	live          bool          // see the package comment
 }
 
 // New returns a roster that knows only its seeds.
@@ -59,12 +59,12 @@
 	return r
 }
 
-// Tick advances the clock. A step above stallThreshold means that this process was stalled and that what other nodes sent is still
-// unread, so the step does not count towards any time-out. Otherwise this node would briefly consider all other nodes lost, and
-// would leave its upstream (the node whose log stream it applies) while the upstream's messages wait to be read.
+// Tick advances the clock. A step above stallThreshold means that this process was stalled, and that the frames which other nodes
+// sent meanwhile are still unread. Such a step does not count towards any time-out. Otherwise this node would briefly consider all
+// other nodes lost, and would leave its upstream (the node whose log stream it applies) although frames of the upstream are unread.
 func (r *Roster) Tick(now time.Duration) {
 	if step := now - r.now; step > stallThreshold {
-		// Other nodes may have bootstrapped the core meanwhile, and their hellos may be unread.
+		// Other nodes may have bootstrapped the core during the stall, and their hellos may be unread. So the quiet period starts again.
 		r.lastDiskAt = now
 		for _, p := range r.peers {
 			p.receivedAt += step
@@ -95,13 +95,14 @@
 	return Action{}, false
 }
 
+// addAction appends an action that Next returns later.
 func (r *Roster) addAction(a Action) { r.actions = append(r.actions, a) }
 
 // Self returns this node's description of itself.
 func (r *Roster) Self() Node { return r.self }
 
-// SetCluster sets this node's disk and the cluster whose state that disk holds from now on. A cluster ID of 0 means that the disk
-// holds no state.
+// SetCluster sets the ID of this node's disk and the ID of the cluster whose state the disk holds. A cluster ID of 0 means that the
+// disk holds no state.
 func (r *Roster) SetCluster(disk DiskID, clusterID uint64) {
 	if r.self.Disk != disk || r.self.ClusterID != clusterID {
 		r.self.Disk, r.self.Bootstrapped, r.self.ClusterID = disk, clusterID != 0, clusterID
@@ -109,7 +110,7 @@
 	}
 }
 
-// AnnounceShutdown tells all linked nodes that this node is shutting down.
+// AnnounceShutdown sends hellos to all linked nodes which say that this node is shutting down.
 func (r *Roster) AnnounceShutdown() {
 	r.self.Leaving = true
 	r.sendHelloToAll()
@@ -126,7 +127,7 @@
 	r.liveNodesChanged = true
 }
 
-// Slot returns the slot of the node at an address, or NoSlot.
+// Slot returns the slot of the node at an address, or NoSlot if the node has none.
 func (r *Roster) Slot(addr string) Slot {
 	if s, ok := r.slots[addr]; ok {
 		return s
@@ -167,8 +168,8 @@
 	return addrs
 }
 
-// discover returns the peer at an address and adds it if it is new. It returns nil if the address is empty or this node's own, or
-// if it is new and maxNodes nodes are already known.
+// findOrAddPeer returns the peer at an address, and adds the peer if it is not known yet. It returns nil if the address is empty or
+// is this node's own address, or if the peer is not known and maxNodes nodes are.
 func (r *Roster) findOrAddPeer(addr string) *peer {
 	p := r.peers[addr]
 	if p != nil || addr == r.self.Addr || addr == "" || len(r.peers) >= maxNodes {
