--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -16,7 +16,7 @@
 // event is one input to a roster.
 type event func(*Roster)
 
-// interleave calls visit with every interleaving of several sequences. Each sequence keeps its own order.
+// forEachInterleaving calls visit with every interleaving of several sequences. Each sequence keeps its own order.
 func forEachInterleaving(seqs [][]event, visit func([]event)) {
 	var order []event
 	var step func()
@@ -38,6 +38,7 @@
 	step()
 }
 
+// takeActions calls Next until it returns no action, and returns the actions.
 func takeActions(r *Roster) (all []Action) {
 	for a, ok := r.Next(); ok; a, ok = r.Next() {
 		all = append(all, a)
@@ -45,6 +46,7 @@
 	return all
 }
 
+// countActions returns the number of actions of a kind for an address.
 func countActions(all []Action, kind ActionKind, addr string) (n int) {
 	for _, a := range all {
 		if a.Kind == kind && a.Addr == addr {
@@ -54,10 +56,9 @@
 	return n
 }
 
-// Guards against a result that depends on the order of inputs. LinkUp and LinkDown report the link on which this node sends to
-// another node. The other node's hellos may come over a second link, on which the other node sends. So the inputs of different
-// nodes, and the hellos and the link events of one node, may come in any order. The same nodes must be live after the last input,
-// whatever the order.
+// Guards against a set of live nodes that depends on the order of inputs. LinkUp and LinkDown concern the link on which this node
+// sends to another node. The other node's hellos may arrive over a second link. So the inputs of different nodes, and the hellos and
+// the link events of one node, may come in any order.
 func TestEventOrdersConverge(t *testing.T) {
 	hello := func(a string, disk DiskID, incarnation uint64, known ...string) event {
 		return func(r *Roster) {
@@ -89,16 +90,17 @@
 	*Roster
 	stopped  bool
 	linkUp   map[string]bool
-	founders []Founder // what its disk holds: the founders of the first bootstrap that it was sent
+	founders []Founder // stored on its disk: the first list of founders that it received
 }
 
+// simCluster is a simulated deployment.
 type simCluster struct {
 	now            time.Duration
 	config         Config
 	nodes          map[string]*simNode
 	names          []string
-	connected      func(a, b string) bool     // the two nodes can reach each other now
-	dropsBootstrap func(from, to string) bool // a Bootstrap message is lost
+	connected      func(a, b string) bool     // returns whether the two nodes can reach each other now
+	dropsBootstrap func(from, to string) bool // returns whether a Bootstrap message is lost
 	proposals      map[string]bool            // all lists of founders that were sent
 	bootstrappers  []string                   // the nodes that chose founders, in order
 }
@@ -118,7 +120,7 @@
 	return sim
 }
 
-// start begins an incarnation of a node. Its disk keeps the founders that it accepted before.
+// startNode begins an incarnation of a node. The node's disk keeps the founders that were stored in earlier incarnations.
 func (sim *simCluster) startNode(name string, disk DiskID, first bool) *simNode {
 	a := sim.nodes[name]
 	if a == nil {
@@ -177,6 +179,8 @@
 	}
 }
 
+// deliverBootstrap records the founders of a Bootstrap action and stores them at the receiver, unless the message is lost or the
+// receiver has stored other founders.
 func (sim *simCluster) deliverBootstrap(from string, action Action) {
 	if founders := fmt.Sprint(action.Founders); !sim.proposals[founders] {
 		sim.proposals[founders], sim.bootstrappers = true, append(sim.bootstrappers, from)
@@ -204,7 +208,7 @@
 	return sim
 }
 
-// majorities counts the lists of founders that more than half of the listed founders have stored.
+// majorityCount returns the number of lists of founders that more than half of the listed founders have stored.
 func (sim *simCluster) majorityCount() (n int) {
 	holds := map[string]int{}
 	for _, a := range sim.nodes {
@@ -218,8 +222,8 @@
 	return n
 }
 
-// With three nodes with a disk and one without, the first seed bootstraps the core once, with all three as founders, and sends
-// the message again where it was lost.
+// Guards against a bootstrap that omits a node with a disk or that ends when messages are lost. Of four nodes, three have a disk. The
+// first seed bootstraps the core once, with these three as founders, and sends a lost message again.
 func TestFirstSeedBootstraps(t *testing.T) {
 	sim := newSimCluster("abc", "a", "b", "c")
 	sim.startNode("d", 0, true)
@@ -237,12 +241,13 @@
 	must.SliceEmpty(t, sim.nodes["d"].founders)
 	must.Eq(t, []string{"a"}, sim.bootstrappers)
 	sent := bootstrapMessages
-	sim.runUntil(20 * time.Second) // all founders hold it, so nothing is sent again
+	sim.runUntil(20 * time.Second) // all founders have stored the list, so nothing is sent again
 	must.Eq(t, sent, bootstrapMessages)
 }
 
-// A later seed bootstraps only if the seed before it was never live, has gone or has run before. No seed bootstraps if a node
-// that it has met holds a state.
+// Guards against two seeds that both bootstrap, and against a deployment in which no seed does. A later seed bootstraps only if each
+// seed before it was never live, is no longer live, or is not at its first start. No seed bootstraps if a node from which it has a
+// hello holds a state of the core.
 func TestSeedsBootstrapInTurn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -257,16 +262,16 @@
 			sim.runUntil(200 * ms).stopNodes("a")
 			sim.runUntil(1000*ms).startNode("a", 1, false)
 		}, "b", 3},
-		{"first seed starts late, while the second waits for its turn", "abc", func(sim *simCluster) {
+		{"first seed starts while the second seed waits for its turn", "abc", func(sim *simCluster) {
 			sim.stopNodes("a")
 			sim.runUntil(2200*ms).startNode("a", 1, true)
 		}, "a", 3},
-		{"first seed restarts with a state", "abc", func(sim *simCluster) {
+		{"first seed restarts with a state of the core", "abc", func(sim *simCluster) {
 			sim.runUntil(200 * ms).stopNodes("a")
 			sim.nodes["a"].founders = []Founder{{1, "a"}}
 			sim.runUntil(1000*ms).startNode("a", 1, false)
 		}, "", 0},
-		{"another seed holds a state", "abc", func(sim *simCluster) {
+		{"another seed holds a state of the core", "abc", func(sim *simCluster) {
 			sim.nodes["c"].founders = []Founder{{3, "c"}}
 			sim.startNode("c", 3, false)
 		}, "", 0},
@@ -287,7 +292,7 @@
 				sim.startNode(n, DiskID(nr+1), false)
 			}
 		}, "a", 3},
-		{"all nodes but one are stopped, and its disk was wiped", "abc", func(sim *simCluster) {
+		{"all nodes but one are stopped, and the disk of the remaining node was wiped", "abc", func(sim *simCluster) {
 			sim.stopNodes("a", "b")
 			sim.startNode("c", 9, false)
 		}, "", 0},
@@ -305,14 +310,14 @@
 	}
 }
 
-// Three seeds and another node with a disk come to reach each other at different times, messages of a bootstrap are lost, and the
-// first seed may stop during the bootstrap. Guards against two clusters that both have a majority, and against no cluster with a
-// majority once all nodes reach each other. A missing cluster is allowed only if the first seed alone stored its founders and then
+// Guards against two clusters that both have a majority, and against no cluster with a majority once all nodes reach each other.
+// Three seeds and another node with a disk begin to reach each other at different times. Messages of a bootstrap are lost, and the
+// first seed may stop during the bootstrap. A missing cluster is allowed only if the first seed alone had stored the founders when it
 // stopped.
 func TestPartitionsBootstrapOneCluster(t *testing.T) {
 	const never = time.Hour
-	// The times at which two of the seeds first reach each other. Bits 0-1, 2-3 and 4-5 of meet are the indexes of the times of the
-	// pairs a-b, a-c and b-c. The higher bits are the number (0 to 2) of the seed that reaches node d from the start.
+	// meetingTimes are the times at which two seeds may first reach each other. Bits 0-1, 2-3 and 4-5 of meet are the indexes in
+	// meetingTimes for the pairs a-b, a-c and b-c. The higher bits are the number (0 to 2) of the seed that reaches node d from the start.
 	meetingTimes := []time.Duration{0, 1600 * ms, 6 * time.Second, never}
 	runs := 0
 	for meet := range 64 * 3 {
@@ -327,7 +332,8 @@
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
 				sim.step()
-				must.LessEq(t, 1, sim.majorityCount(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.LessEq(t, 1, sim.majorityCount(),
+					must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
 					onlyFirstSeedHolds = a.founders != nil && sim.majorityCount() == 0
@@ -336,14 +342,15 @@
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorityCount(), must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
+				must.Eq(t, 1, sim.majorityCount(),
+					must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
 	}
 }
 
-// A node that sends nothing is not live. A node that sends nothing for a long time is forgotten, unless it is a seed or has a
-// slot.
+// Guards against nodes that stay live or stay known although they send nothing. A node that sends nothing for livenessTimeout is not
+// live. A node that sends nothing for forgetAfter is forgotten, unless it is a seed or has a slot.
 func TestLivenessTimeout(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"s"}}, 0)
 	for _, a := range []string{"s", "x", "y"} {
@@ -370,7 +377,7 @@
 	must.True(t, r.IsLive("x"))
 	must.False(t, r.IsLive("y"))
 	r.FrameReceived("y")
-	must.True(t, r.IsLive("y")) // its link never ended
+	must.True(t, r.IsLive("y")) // the link to y never ended
 	r.HandleHello("y", Hello{Node: Node{Name: "y", Incarnation: 2}})
 	must.Eq(t, 1, countActions(takeActions(r), LiveNodesChanged, "")) // y stays live, but in another incarnation
 	tickUntil(livenessTimeout + forgetAfter + ms)
@@ -390,9 +397,9 @@
 	must.Eq(t, DiskID(5), d.Disk)
 }
 
-// Guards against links that grow with the square of the number of nodes, and against a node that is left without a link. A node
-// without a disk that knows only seeds without a disk is linked to the nodes with a disk. It drops its links to the seeds when it
-// has a slot, and connects to the seeds again when no node with a disk is live any more.
+// Guards against a number of links that grows with the square of the number of nodes, and against a node without any link. A node
+// without a disk, whose seeds have no disk either, is linked to the nodes with a disk. It closes its links to these seeds when it has
+// a slot, and connects to them again when no node with a disk is live any more.
 func TestLinksGoThroughDiskNodes(t *testing.T) {
 	sim := newSimCluster("dea", "a", "b", "c")
 	for _, n := range []string{"d", "e", "f", "g"} {
@@ -415,7 +422,7 @@
 		}
 		return addrs
 	}
-	// The nodes with a disk report to the other nodes which nodes are live.
+	// reportLiveness runs the simulation for d. At each step the nodes with a disk report to the other nodes which nodes are live.
 	reportLiveness := func(d time.Duration) {
 		for end := sim.now + d; sim.now < end; {
 			sim.step()
@@ -456,9 +463,9 @@
 	must.Eq(t, "abce", linked("d"))
 }
 
-// After a stall of several seconds, a process has not yet read the frames that the other nodes sent. It must not consider these nodes
-// lost before it has read the frames. Guards against a node that considered its upstream lost after a stall. The node changed to
-// another upstream, dropped the unread log entries, and used an old configuration for seconds.
+// Guards against a node that considers its upstream lost after a stall of its own process. Such a node changed to another upstream,
+// dropped the unread log entries, and used an old configuration for seconds. After a stall, the frames that the other nodes sent are
+// still unread, so the stall must not count towards the time-out.
 func TestStallIsNotATimeout(t *testing.T) {
 	r := New(Node{Addr: "me"}, Config{}, 0)
 	r.HandleHello("a", Hello{Node: Node{Name: "a", Disk: 1, Incarnation: 1}, Acknowledged: r.self.fingerprint()})
@@ -478,12 +485,12 @@
 	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(22 * time.Second)
 	takeActions(r)
-	must.False(t, r.IsLive("a") || r.IsLive("b")) // nothing came for 2.2 s, of which 0.5 s were before the stall
+	must.False(t, r.IsLive("a") || r.IsLive("b")) // no frame came for 2.2 s, not counting the stall; 0.5 s of these were before it
 }
 
-// The first seed stalls for 6 s before it bootstraps the core, or has been partitioned for 1.2 s. After the stall it must first
-// read the frames that the other nodes have sent. After the partition it must not count nodes that have sent nothing for longer than
-// bootstrapContactTimeout. Guards against a first seed that creates a cluster which the other nodes never join.
+// Guards against a first seed that creates a cluster which the other nodes never join. The first seed either stalls for 6 s before it
+// bootstraps the core, or is partitioned for 1.2 s. After the stall it must first read the frames that the other nodes have sent.
+// During the partition it must not count nodes that have sent nothing for longer than bootstrapContactTimeout.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
 	bootstraps := func(pause time.Duration, othersSend bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: testClusterID}, 0)
@@ -507,11 +514,11 @@
 	}
 	must.True(t, bootstraps(0, true))
 	must.False(t, bootstraps(6*time.Second, true)) // another node has bootstrapped the core
-	must.False(t, bootstraps(800*ms, false))       // no node was heard from for 1.2 s
+	must.False(t, bootstraps(800*ms, false))       // no frame came for 1.2 s
 }
 
 // Guards against two clusters that both accept changes. Nodes a, b and c are the seeds. Nodes d and e also have a disk, and a is
-// the only seed that reaches them. The fault came about as follows. Seed a chose all five nodes as founders, and was partitioned
+// the only seed that reaches d and e. The fault came about as follows. Seed a chose all five nodes as founders, and was partitioned
 // from b and c while it sent the list of founders. Nodes a, d and e stored the list, which made three of five founders. Seeds b and
 // c knew only the disks of a, b and c. They chose these three nodes as founders, and b and c stored that list, which made two of
 // three founders. So each cluster had a majority. To prevent this, a node sends the list to the seeds first. It sends the list to
@@ -531,14 +538,15 @@
 		}
 		for sim.now < 20*time.Second {
 			sim.step()
-			must.LessEq(t, 1, sim.majorityCount(), must.Sprintf("partitioned at %v: %v", partitionedAt, sim.bootstrappers))
+			must.LessEq(t, 1, sim.majorityCount(),
+				must.Sprintf("seed a partitioned from b and c at %v, founders chosen by %v", partitionedAt, sim.bootstrappers))
 		}
 	}
 }
 
 // Guards against hellos whose traffic grows with the square of the number of nodes. Slot holders are known from the core's log, so
-// a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A hello still names a node
-// without a slot, because that node is not in the log.
+// a hello to a node with a disk names only the nodes with a disk and the nodes that have no slot yet. A node without a slot must be
+// named, because it is not in the log.
 func TestHellosOmitSlotHolders(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"disk"}, ClusterID: testClusterID}, 0)
 	var holders []SlotHolder
@@ -556,10 +564,10 @@
 	must.Eq(t, []string{"disk", "disk-2"}, r.HelloTo("node-5").KnownAddrs)
 }
 
-// A node with a disk that starts knows hundreds of nodes by their slots. All of these nodes dial it at that moment, so it waits for
-// them to dial first. After passiveDialDelay it dials the nodes that have sent nothing, because these may not be able to establish
-// the link themselves. Guards against a member that ran out of file descriptors right after a power loss, because its 300 dials
-// were added to the 300 dials of the others.
+// Guards against a member that runs out of file descriptors right after a power loss. A node with a disk that starts knows hundreds
+// of slot holders, and all of these dial it at that moment. Its own 300 dials were added to the 300 dials of the others. So the node
+// waits for the others to dial first. After passiveDialDelay it dials the nodes that have sent nothing, because these may not be able
+// to establish the link themselves.
 func TestSlotHoldersDialFirst(t *testing.T) {
 	r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me"}, ClusterID: testClusterID}, 0)
 	var holders []SlotHolder
--- a/internal/gateway/membership/wire.go
+++ b/internal/gateway/membership/wire.go
@@ -1,11 +1,11 @@
 package membership
 
 // The types in this file are the encoding of hellos on links. Gob matches fields by name, and other versions of the program read
-// these messages, so a field keeps its name in this file even if the code uses another name. A receiver ignores a field that it does not
-// know, and a field that the sender omits is zero. SlotHolder and Founder need no such types, because the core's log stores them
-// under their own field names.
+// hellos, so a field keeps its name in this file even if the rest of the package uses another name for the value. A receiver
+// ignores a field that it does not know, and a field that the sender omits is zero. SlotHolder and Founder need no such types,
+// because the core's log stores them under their own field names.
 
-// WireNode is the gob encoding of a Node.
+// WireNode is the gob encoding of a Node. A comment gives the field of Node if its name differs.
 type WireNode struct {
 	Name    string
 	Addr    string
@@ -19,7 +19,7 @@
 	House   uint64 // ClusterID
 }
 
-// WireHello is the gob encoding of a Hello.
+// WireHello is the gob encoding of a Hello. A comment gives the field of Hello if its name differs.
 type WireHello struct {
 	Door  WireNode // Node
 	Known []string // KnownAddrs
@@ -28,7 +28,7 @@
 	Knows uint64   // Acknowledged
 }
 
-// Wire returns the hello in the form in which it is sent.
+// Wire returns the hello in the form that is sent over links.
 func (h *Hello) Wire() *WireHello {
 	n := &h.Node
 	return &WireHello{Door: WireNode{Name: n.Name, Addr: n.Addr, Control: n.ControlAddr, Zone: n.Zone, Disk: n.Disk, First: n.FirstStart,
@@ -36,7 +36,7 @@
 		Known: h.KnownAddrs, Begun: h.ClusterExists, Parts: h.ChunkedCalls, Knows: h.Acknowledged}
 }
 
-// Hello returns the hello that was sent in this form.
+// Hello returns the hello that w encodes.
 func (w *WireHello) Hello() Hello {
 	n := &w.Door
 	return Hello{Node: Node{Name: n.Name, Addr: n.Addr, ControlAddr: n.Control, Zone: n.Zone, Disk: n.Disk, FirstStart: n.First,
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Bounds provides the ages that the table of permissions refers to. settings.Bounds implements it.
+// Bounds provides the maximum ages for the table of permissions. settings.Bounds implements Bounds.
 type Bounds interface {
-	// ReadyMaxAge returns the age up to which the node reports itself ready for clients.
+	// ReadyMaxAge returns the contact age below which the node reports itself ready for clients.
 	ReadyMaxAge() time.Duration
-	// AuthoritativeMaxAge returns the age up to which a node may refuse requests by its own state alone.
+	// AuthoritativeMaxAge returns the contact age below which a node may refuse requests on the basis of its own state alone.
 	AuthoritativeMaxAge() time.Duration
-	// PartitionedAge returns the age from which a caller should ask another node rather than wait for this one.
+	// PartitionedAge returns the contact age from which a caller should use another node rather than wait for this node.
 	PartitionedAge() time.Duration
 }
 
-// State is a node's contact with the majority, compared with a maximum age. The states are bits, so that a permission can accept
-// several of them.
+// State is the result of comparing a node's contact age with a maximum age. The states are bits, so that a permission can accept
+// several states.
 type State uint8
 
 // The states.
@@ -22,30 +22,30 @@
 	FollowerInContact                     // the node does not lead, and its contact age is below the maximum
 	LeaderPartitioned                     // the node leads, and its contact age has reached the maximum
 	FollowerPartitioned                   // the node does not lead, and its contact age has reached the maximum
-	Starting                              // there was no contact in this incarnation, and its uptime is below the maximum age
-	NoContact                             // there was no contact in this incarnation, and its uptime has reached the maximum age
+	Starting                              // no contact in this incarnation yet; the node's uptime is below the maximum age
+	NoContact                             // no contact in this incarnation; the node's uptime has reached the maximum age
 
 	inContact = LeaderInContact | FollowerInContact
 )
 
-// Permission is something that a node does for others if its contact allows it.
+// Permission identifies an operation that a node may perform for others only in certain states.
 type Permission uint8
 
 // The permissions.
 const (
-	// ServeClients permits the node to tell the platform that it is ready for clients.
+	// ServeClients permits the node to report to the platform that it is ready for clients.
 	ServeClients Permission = iota
-	// RefuseRequests permits the node to answer 401, 404, or 400 to a change that is invalid in itself. The node decides these
-	// answers by its own state alone.
+	// RefuseRequests permits the node to answer requests with 401 or 404, and to answer a change with 400 if the change is invalid
+	// in any state. The node decides on these answers by its own state alone.
 	RefuseRequests
 	// AcceptCalls permits the node to accept or forward a change or a read. Without the permission, the node rejects the call at
 	// once.
 	AcceptCalls
-	// StreamLog means that the learners of this node need not look for another upstream.
+	// StreamLog permits the learners that use this node as their upstream to keep it.
 	StreamLog
 	// AcknowledgeBackend permits the node to acknowledge the heartbeat of a backend.
 	AcknowledgeBackend
-	// AcknowledgeDrain permits the node to acknowledge a backend's drain or deregistration, once enough other nodes hold it.
+	// AcknowledgeDrain permits the node to acknowledge a backend's drain or deregistration once enough other nodes have recorded it.
 	AcknowledgeDrain
 	// RequestSlot permits the node to request a slot.
 	RequestSlot
@@ -53,20 +53,21 @@
 
 // rule is a row of the table of permissions.
 type rule struct {
-	states       State // the permission requires one of these states
-	memberMaxAge ageBound
-	// learnerMaxAge is the maximum age for a node without a disk. Its age exceeds its upstream's by up to one heartbeat interval.
+	states       State    // the permission requires one of these states
+	memberMaxAge ageBound // maximum age at a member
+	// learnerMaxAge is the maximum age at a learner. A learner's age exceeds the age of its upstream by up to one heartbeat interval.
 	learnerMaxAge ageBound
 	needsConfig   bool // the permission also requires that a configuration is in force
 }
 
-// ageBound selects one of the bounds.
+// ageBound returns one of the maximum ages of Bounds.
 type ageBound func(Bounds) time.Duration
 
-// rules is the table of permissions. What is not in the table needs no contact: serving requests with the present configuration
-// (2xx), using the node's share of quotas among the nodes in reach, answering 200 to a change that is in its own committed log,
-// and streaming its entries to a node that knows nothing newer. Operations that need a majority get it from the log itself,
-// whatever the age is: accepting, confirming and refusing (412) a change, reading, assigning a slot, and changing the members.
+// rules is the table of permissions. A node needs no contact for the following operations, which are not in the table: serving
+// requests with its present configuration (2xx), using its share of quotas, answering 200 to a change that is in its own committed
+// log, and streaming its log entries to a node that has no newer ones. The following operations do not depend on the age, because the
+// log itself obtains a majority for them: accepting, confirming and refusing (412) a change, reading, assigning a slot, and changing
+// the members.
 var rules = [...]rule{
 	ServeClients:       {inContact, Bounds.ReadyMaxAge, Bounds.ReadyMaxAge, true},
 	RefuseRequests:     {inContact, Bounds.AuthoritativeMaxAge, Bounds.AuthoritativeMaxAge, true},
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -7,58 +7,60 @@
 )
 
 const (
-	// UnknownAge is the age that is sent and compared while there was no contact in this incarnation.
+	// UnknownAge is the contact age that is reported while there was no contact in this incarnation.
 	UnknownAge = 24 * time.Hour
-	// MaxKnownAge is the age from which a report means that its sender had no contact.
+	// MaxKnownAge is the lowest age in a report that means that the sender of the report had no contact.
 	MaxKnownAge = UnknownAge / 2
 )
 
 // Replica is the part of a member's replica of the configuration log that the tracker uses. *replication.Replica implements it.
 type Replica interface {
-	// Tick advances the replica's clock. A leader that was paused steps down on this call if the other members have timed it out
-	// meanwhile.
+	// Tick advances the replica's clock. If the process of a leader was paused for so long that the other members may have elected
+	// another leader, the leader steps down on this call.
 	Tick(now time.Duration)
+	// IsLeader reports whether this member leads the log.
 	IsLeader() bool
 	// Leader returns the known leader and its term, and false if no leader is known.
 	Leader() (leader replication.Member, term uint64, ok bool)
-	// QuorumContact returns the contact age and the newest term in which the contact is known, and false if there was no contact.
+	// QuorumContact returns the contact age and the newest term to which the age refers, and false if there was no contact.
 	QuorumContact(now time.Duration) (age time.Duration, term uint64, ok bool)
 }
 
 // Config holds the parameters of a tracker.
 type Config struct {
-	Replica     Replica // nil at a node without a disk
-	Bounds      Bounds  // read anew for each decision, because the settings may be reloaded
+	Replica     Replica // nil at a learner
+	Bounds      Bounds  // called for each decision, because the settings may be reloaded
 	Incarnation uint64
 	StartedAt   time.Duration
 	Knobs       *TestingKnobs // nil outside of tests
 }
 
-// TestingKnobs disable one safeguard each, so that tests can show that the safeguard is needed. They may change while the tracker
-// is in use.
+// TestingKnobs disable safeguards, so that tests can show that each safeguard is needed. Each knob disables one safeguard, except
+// GrantAll. The knobs may change while the tracker is in use.
 type TestingKnobs struct {
 	GrantAll               bool // every permission is granted
 	CountFromReceipt       bool // the age of an upstream's report counts from its receipt
 	AcceptOlderTerms       bool // a report of an older term is accepted after one of a newer term
-	AckDrainWithoutContact bool
+	AckDrainWithoutContact bool // drains and deregistrations of backends are acknowledged at any age
 	ServeWithoutContact    bool // clients are served and requests are refused at any age
-	QueueWithoutContact    bool // a call is queued even if no node can accept it
-	// TrustHeardLeader makes a member count as in contact while it hears a leader, whether or not the leader hears the member.
+	QueueWithoutContact    bool // calls are accepted at any age, so a call is queued even if no node can process it
+	// TrustHeardLeader makes the contact age of a member 0 while the member knows a leader, even if the leader receives nothing from
+	// the member.
 	TrustHeardLeader bool
 }
 
-// Tracker tracks the contact of one node. Only the goroutine that runs the current turn of the node's event loop may call its methods. They take
-// the current time as an argument.
+// Tracker tracks the contact of one node. The methods of a Tracker may be called only by the goroutine that runs the current turn of
+// the node's event loop. The argument now of a method is the current time on the node's monotonic clock.
 type Tracker struct {
 	config Config
 	clock  replication.Clock
-	stream streamContact // what the upstreams reported, at a node without a disk
+	stream streamContact // contact according to the upstreams' reports; used at a learner only
 }
 
-// streamContact is the contact of a node without a disk.
+// streamContact is the contact of a learner.
 type streamContact struct {
-	appliedAsOf time.Duration // all changes acknowledged before this time have been applied here
-	term        uint64        // the newest term of a report
+	appliedAsOf time.Duration // all changes acknowledged before this time have been applied at this node
+	term        uint64        // the newest term in an accepted report
 }
 
 // noReport is the value of appliedAsOf before the first report.
@@ -72,8 +74,8 @@
 	return &Tracker{config: config, clock: replication.NewClock(config.Incarnation), stream: streamContact{appliedAsOf: noReport}}
 }
 
-// IsLeader reports whether this node leads the configuration log. It advances the replica's clock first, because a leader that
-// was paused does not know yet that the other members have timed it out.
+// IsLeader reports whether this node leads the configuration log. It advances the replica's clock first. Otherwise a node whose
+// process was paused could still count as the leader although the other members have elected another leader.
 func (t *Tracker) IsLeader(now time.Duration) bool {
 	if t.config.Replica == nil {
 		return false
@@ -82,8 +84,8 @@
 	return t.config.Replica.IsLeader()
 }
 
-// Contact returns the maximum age of this node's knowledge and the newest term in which that is known. It returns false while
-// there was no contact in this incarnation.
+// Contact returns the contact age and the newest term to which the age refers. It returns false while there was no contact in this
+// incarnation.
 func (t *Tracker) Contact(now time.Duration) (age time.Duration, term uint64, ok bool) {
 	if r := t.config.Replica; r != nil {
 		if _, term, ok := r.Leader(); ok && t.config.Knobs.TrustHeardLeader {
@@ -102,9 +104,9 @@
 	return UnknownAge
 }
 
-// State returns the node's contact compared with a maximum age.
+// State returns the result of comparing the node's contact age with a maximum age.
 func (t *Tracker) State(maxAge, now time.Duration) State {
-	leading := t.IsLeader(now) // this call advances the replica's clock, on which the contact depends
+	leading := t.IsLeader(now) // called first, because it advances the replica's clock, on which the contact depends
 	age, _, ok := t.Contact(now)
 	switch {
 	case !ok && t.Uptime(now) < maxAge:
@@ -126,7 +128,7 @@
 	return (configured || !rules[p].needsConfig) && t.ContactSuffices(p, now)
 }
 
-// ContactSuffices reports whether the contact suffices for a permission, whether or not a configuration is in force.
+// ContactSuffices reports whether the contact age suffices for a permission. It does not check whether a configuration is in force.
 func (t *Tracker) ContactSuffices(p Permission, now time.Duration) bool {
 	if t.config.Knobs.grants(p) {
 		return true
@@ -139,7 +141,7 @@
 	return r.states&t.State(maxAge(t.config.Bounds), now) != 0
 }
 
-// grants reports whether the knobs grant a permission without its safeguard.
+// grants reports whether the knobs grant a permission at any age.
 func (t *TestingKnobs) grants(p Permission) bool {
 	switch p {
 	case AcknowledgeDrain:
@@ -154,17 +156,19 @@
 
 // Report is an upstream's description of its own contact.
 type Report struct {
+	// Age is the contact age of the sender. An age of MaxKnownAge or more means that the sender had no contact.
 	Age time.Duration
-	// Term is 0 if the sender's version does not send terms. Such a version echoes no timestamp either.
+	// Term is the term of the sender's contact, or 0 if the sender's version does not send terms. Such a version echoes no timestamp.
 	Term uint64
-	// Echo is the newest timestamp of the receiver of the report that the sender has received. See Timestamp.
+	// Echo is the newest timestamp that the sender has received from the receiver of the report. See Tracker.Timestamp.
 	Echo  uint32
 	Index uint64 // index of the last entry that the sender had applied
 }
 
-// HandleReport processes a report of the current upstream. It ignores a report that covers more entries than the appliedIndex of
-// this node, whose sender had no contact, whose term is older than the newest reported one, or that echoes a timestamp that this
-// incarnation did not send recently. A report without a term echoes no timestamp, so its age counts from its receipt.
+// HandleReport processes a report of the current upstream. appliedIndex is the index of the last entry that this node has applied.
+// HandleReport ignores a report in each of the following cases: the report covers an entry after appliedIndex; the sender had no
+// contact; the term is older than the newest reported term; or this incarnation did not send the echoed timestamp recently. A report
+// without a term echoes no timestamp, so its age counts from the receipt of the report.
 func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
 	sentAt, ok := t.clock.SentAt(r.Echo, now)
 	switch {
@@ -180,8 +184,8 @@
 	}
 }
 
-// IsStaleTerm reports whether a term is older than the newest term that an upstream reported. The sender of a stale term has
-// missed a change of leaders.
+// IsStaleTerm reports whether a term is older than the newest term that an upstream reported. The sender of a stale term does not
+// know of a later change of the leader.
 func (t *Tracker) IsStaleTerm(term uint64) bool {
 	return term < t.stream.term && !t.config.Knobs.AcceptOlderTerms
 }
@@ -189,11 +193,11 @@
 // ReportedTerm returns the newest term that an upstream reported, or 0 if there was no report.
 func (t *Tracker) ReportedTerm() uint64 { return t.stream.term }
 
-// Timestamp returns this node's current timestamp. Other nodes echo it in a Report.
+// Timestamp returns this node's current timestamp. Upstreams echo the timestamp in a Report.
 func (t *Tracker) Timestamp(now time.Duration) uint32 { return t.clock.Timestamp(now) }
 
 // Uptime returns the time since this incarnation began.
 func (t *Tracker) Uptime(now time.Duration) time.Duration { return now - t.config.StartedAt }
 
-// StreamMaxAge returns the age of an upstream's contact from which a learner looks for another upstream.
+// StreamMaxAge returns the contact age of an upstream from which a learner looks for another upstream.
 func (t *Tracker) StreamMaxAge() time.Duration { return rules[StreamLog].memberMaxAge(t.config.Bounds) }
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -35,9 +35,10 @@
 	return f.age, 3, f.contact
 }
 
-// Reports from upstreams are handled in every order. A node's contact must never be newer than the newest contact that was
-// reported, counted from the time when the node sent its timestamp. A report must not be accepted if its term is older than one
-// accepted before, if it covers more entries than the node has applied, or if it echoes a timestamp of another incarnation.
+// Guards against a contact age that is less than the true age. Reports from upstreams are handled in every order. A node's contact
+// must never be newer than the reported contact, counted from the time when the node sent the timestamp. A report must not be
+// accepted if its term is older than the term of a report accepted before, if the report covers more entries than the node has
+// applied, or if it echoes a timestamp of another incarnation.
 func TestContactIsNeverNewerThanReported(t *testing.T) {
 	const now = 100 * time.Second
 	own, other := replication.NewClock(7), replication.NewClock(8)
@@ -70,14 +71,16 @@
 	must.Greater(t, 0, countViolations(TestingKnobs{CountFromReceipt: true}))
 }
 
-// Each permission is granted in exactly the states, and up to exactly the age, that this test lists independently of the table of
-// permissions.
+// Guards against an unintended change of the table of permissions. The test lists for each permission the states and the maximum age
+// independently of that table. Each permission must be granted in exactly these states and below exactly this age.
 func TestPermissionsByStateAndAge(t *testing.T) {
 	const started = time.Minute
 	permissions := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
 	b := fixedBounds{}
-	member := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(), b.ReadyMaxAge()}
-	learner := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge()}
+	member := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.PartitionedAge(), b.PartitionedAge(), b.PartitionedAge(),
+		b.PartitionedAge(), b.ReadyMaxAge()}
+	learner := []time.Duration{b.ReadyMaxAge(), b.AuthoritativeMaxAge(), b.ReadyMaxAge(), b.PartitionedAge(), b.ReadyMaxAge(),
+		b.PartitionedAge(), b.ReadyMaxAge()}
 	for i, p := range permissions {
 		starting := p == AcceptCalls || p == AcknowledgeBackend
 		config := p == ServeClients || p == RefuseRequests
@@ -105,7 +108,7 @@
 	}
 }
 
-// Each knob disables the safeguard that it names, and no other.
+// Guards against a knob that disables another safeguard than the one that it names.
 func TestKnobsDisableOnlyTheirSafeguard(t *testing.T) {
 	granted := func(knobs TestingKnobs) (permissions []Permission) {
 		tracker := New(Config{Replica: &fakeReplica{leaderKnown: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
--- a/internal/gateway/statemachine/errors.go
+++ b/internal/gateway/statemachine/errors.go
@@ -6,15 +6,15 @@
 	"github.com/go-faster/errors"
 )
 
-// These errors are the reasons why Apply rejects an entry, apart from the errors of the packages to which Machine dispatches
-// entries. Callers of the control API see their texts.
+// Errors with which Apply rejects an entry. The packages to which Machine dispatches entries have further errors. The control API
+// returns the texts of these errors to its callers.
 var (
 	ErrEmptyEntry   = errors.New("log entry is empty")
 	ErrNoSlotLeft   = errors.New("assign slot: no slot is left")
 	ErrNoGroupDisks = errors.New("bootstrap coordination groups: entry names no disk")
 )
 
-// UnknownKindError is returned for an entry of a kind that this version does not know.
+// UnknownKindError is returned for an entry whose kind this version does not support.
 type UnknownKindError struct{ Kind Kind }
 
 // Error returns a message that names the kind by its character.
--- a/internal/gateway/statemachine/groups.go
+++ b/internal/gateway/statemachine/groups.go
@@ -6,11 +6,12 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Founders returns the disks with which the coordination groups were bootstrapped, or nil if that has not happened yet.
+// Founders returns the disks with which the coordination groups were bootstrapped, or nil if they have not been bootstrapped yet.
 func (m *Machine) Founders() []membership.Founder { return m.founders }
 
-// bootstrapGroups applies only the first entry of its kind. If the groups were bootstrapped twice, on different disks, the two
-// sets of groups would know nothing of each other.
+// bootstrapGroups records the disks on which the coordination groups are bootstrapped. It returns Duplicate and changes nothing if the
+// groups have been bootstrapped before. If they were bootstrapped twice, on different disks, there would be two independent sets of
+// groups.
 func (m *Machine) bootstrapGroups(body []byte) (routing.Result, error) {
 	var stored []storedFounder
 	if err := logentry.Decode(body, &stored, "read bootstrap entry of the coordination groups"); err != nil {
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -9,18 +9,18 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Machine holds the state. It is not safe for concurrent use.
+// Machine is the state machine of the configuration log, see the package comment. It is not safe for concurrent use.
 type Machine struct {
 	Configs  *routing.Register
 	Rollouts *rollout.State
 	slots    []membership.SlotHolder // indexed by slot
-	founders []membership.Founder    // of the coordination groups
+	founders []membership.Founder    // disks with which the coordination groups were bootstrapped
 }
 
-// New returns the state before the first entry.
+// New returns a machine in the state before the first entry.
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
-// configKind returns the routing.Kind of a kind that routing.Register implements, and false for all other kinds.
+// routingKind returns the routing.Kind for a kind that routing.Register implements, and false for all other kinds.
 func routingKind(kind Kind) (routing.Kind, bool) {
 	switch kind {
 	case KindReplaceConfig:
@@ -31,7 +31,8 @@
 	return 0, false
 }
 
-// Decide returns the result that Apply would return now. It accepts every entry of a kind that only Apply decides.
+// Decide returns the result that Apply would return now for an entry that concerns a configuration or a roll-out. For all other kinds
+// it returns Accepted, because only Apply decides on these.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
 		return handleRolloutEntry(body, m.Rollouts.Decide)
@@ -42,8 +43,8 @@
 	return routing.Accepted, nil
 }
 
-// DecideFinal returns the same as Decide, and also reports whether the result is the same in every later state. If it is, a node
-// may answer with it even though its own state is stale.
+// DecideFinal returns a result and reports whether the result would be the same in every later state. If it would be, a node may
+// answer with the result even though the node's own state is stale. Otherwise the result may differ from the result of Decide.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
 	if config, ok := routingKind(kind); ok {
 		return m.Configs.Final(config, body)
@@ -55,7 +56,7 @@
 	return result, err, result != routing.Accepted
 }
 
-// decideRolloutFinal returns the result for an entry of a roll-out if no later entry can change that result, and otherwise
+// finalRolloutResult returns the result for an entry of a roll-out if no later entry can change that result. Otherwise it returns
 // Accepted.
 func (m *Machine) finalRolloutResult(e *rollout.Entry) (routing.Result, error) {
 	if m.Rollouts.CallApplied(e.CallID) {
@@ -67,7 +68,8 @@
 	return routing.Accepted, nil
 }
 
-// withRolloutEntry decodes an entry of a roll-out and passes it to handle. It returns Invalid if the entry cannot be decoded.
+// handleRolloutEntry decodes an entry of a roll-out and returns the result of handle for it. It returns Invalid if the entry cannot be
+// decoded.
 func handleRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return handle(e)
 }
 
-// Apply applies an entry to the state. An entry that cannot be decoded or has an unknown kind changes nothing.
+// Apply applies an entry to the state and returns the result. An entry that cannot be decoded or has an unknown kind changes nothing.
 func (m *Machine) Apply(entry []byte) (routing.Result, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, ErrEmptyEntry
@@ -96,7 +98,7 @@
 	return routing.Invalid, &UnknownKindError{kind}
 }
 
-// Snapshot encodes the complete state.
+// Snapshot returns the encoding of the complete state.
 func (m *Machine) Snapshot() []byte {
 	return logentry.Encode(storedState{
 		Bills:    m.Configs.Snapshot(),
@@ -106,7 +108,7 @@
 	})
 }
 
-// Restore returns the state that a snapshot encodes.
+// Restore returns a machine with the state that a snapshot encodes.
 func Restore(snapshot []byte) (*Machine, error) {
 	var stored storedState
 	if err := logentry.Decode(snapshot, &stored, "read snapshot"); err != nil {
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -23,12 +23,14 @@
 	return membership.SlotHolder{Name: name, Addr: name + ":1", Control: name + ":2", Zone: "z"}
 }
 
-// allEntryKinds returns a short log that contains every kind of entry, including duplicate, conflicting and invalid ones.
+// entriesOfAllKinds returns a short log that contains entries of every kind, including duplicate, conflicting and invalid entries.
 func entriesOfAllKinds() [][]byte {
 	again := testSlotHolder("b")
 	again.Name = "b2"
-	return [][]byte{EncodeAssignSlotEntry(testSlotHolder("b")), EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(testSlotHolder("a")), EncodeEntry(KindReplaceConfig, configBody(4, 0)),
-		EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")), nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
+	return [][]byte{EncodeAssignSlotEntry(testSlotHolder("b")), EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(testSlotHolder("a")),
+		EncodeEntry(KindReplaceConfig, configBody(4, 0)),
+		EncodeEntry(KindReplaceConfig, configBody(3, 0)), EncodeAssignSlotEntry(again), EncodeEntry('z', []byte("of a newer program")),
+		nil, EncodeEntry(KindAssignSlot, []byte("no slot")),
 		EncodeEntry(KindAmendConfig, []byte(`{"generation":5,"parent_version":3,"upserts":{"services":[{"name":"t"}]}}`)),
 		EncodeEntry(KindReplaceConfig, []byte("{")), EncodeAssignSlotEntry(testSlotHolder("c")), EncodeEntry(KindReplaceConfig, configBody(9, 5)),
 		encodeRolloutEntry(rollout.Entry{Verb: rollout.Start, CallID: "m", Spec: testRollout}),
@@ -45,8 +47,8 @@
 	return EncodeEntry(KindRollout, e.Encode())
 }
 
-// Checks the result of every entry. Slots are assigned in order, and a node that requests one again keeps its slot under its new
-// name.
+// Guards against a change of the results of entries, and against results of Decide that differ from those of Apply. Slots are assigned
+// in order. A node that requests a slot again keeps its slot, and its record gets the new name.
 func TestApplyResults(t *testing.T) {
 	s := New()
 	accepted, duplicate, conflict, invalid := routing.Accepted, routing.Duplicate, routing.Conflict, routing.Invalid
@@ -77,8 +79,8 @@
 	must.Len(t, maxSlots, s.SlotHolders())
 }
 
-// Guards against a snapshot that loses state. A machine that is restored from a snapshot taken after any entry, and then applies
-// the rest, reaches the same state as one that applied all entries.
+// Guards against a snapshot that loses state. A machine is restored from a snapshot taken before any one of the entries, and then
+// applies the remaining entries. It must reach the same state as a machine that applied all entries.
 func TestRestoreAfterAnyEntry(t *testing.T) {
 	entries := entriesOfAllKinds()
 	complete := New()
@@ -96,10 +98,10 @@
 		}
 		must.Eq(t, complete.Snapshot(), s.Snapshot(), must.Sprint(i))
 		must.Eq(t, complete.SlotHolders(), s.SlotHolders())
-		v, _ := s.Decide(KindReplaceConfig, configBody(3, 0)) // an accepted change is recognized by its bytes
+		v, _ := s.Decide(KindReplaceConfig, configBody(3, 0)) // a change that was accepted before is recognized by its bytes
 		must.Eq(t, routing.Duplicate, v)
 	}
-	var older bytes.Buffer // the snapshot of a version that knew no roll-outs
+	var older bytes.Buffer // a snapshot of a version without roll-outs
 	must.NoError(t, gob.NewEncoder(&older).Encode(struct {
 		Bills []byte
 		Seats []membership.SlotHolder
--- a/internal/gateway/statemachine/process_test.go
+++ b/internal/gateway/statemachine/process_test.go
@@ -15,12 +15,12 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// preludeEnv is the environment variable that tells a child process of this test what to do before it applies the log.
+// preludeEnv is the environment variable that selects what a child process of this test encodes before it applies the log.
 const preludeEnv = "STATEMACHINE_DOES_BEFORE"
 
-// A member that was sent half of a snapshot receives the other half from the next leader, which works only if the two snapshots
-// have the same bytes. Guards against bytes that depend on which other types a process has encoded before. They did so in a
-// process that had been a leader, or that had no disk to read.
+// Guards against snapshot bytes that depend on which other types a process has encoded before. A member that received half of a
+// snapshot receives the other half from the next leader, so the snapshots of both leaders must have the same bytes. The bytes differed
+// in a process that had been a leader, or that had no disk to read.
 func TestSnapshotBytesEqualAcrossProcesses(t *testing.T) {
 	applyLog := func() string {
 		s := New()
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -2,12 +2,12 @@
 
 import "clovergap/internal/gateway/membership"
 
-// These types are the gob encoding of entries and snapshots. Gob matches fields by name, and other versions read what this one
-// writes, so the names must not change.
+// These types are the gob encoding of entries and snapshots. Gob matches fields by name, and other versions of the program read
+// entries and snapshots that this version writes. So the names of the fields must not change.
 type (
 	storedState struct {
-		Bills    []byte // snapshot of routing.Register
-		Seats    []storedSlot
+		Bills    []byte          // snapshot of routing.Register
+		Seats    []storedSlot    // the slot holders, indexed by slot
 		Rollouts []byte          // snapshot of rollout.State; not in snapshots of the first version
 		Founders []storedFounder // not in snapshots of the first version
 	}
@@ -27,12 +27,12 @@
 	return storedSlot{Name: holder.Name, Addr: holder.Addr, Control: holder.Control, Zone: holder.Zone}
 }
 
-func (s storedSlot) slotHolder() membership.SlotHolder {
+func (s storedSlot) toMembershipSlot() membership.SlotHolder {
 	return membership.SlotHolder{Name: s.Name, Addr: s.Addr, Control: s.Control, Zone: s.Zone}
 }
 
-// storeSlots returns nil for an empty list, and so do slotsOf, storeFounders and foundersOf. Gob omits both nil and empty lists,
-// but a restored state must equal its original.
+// toStoredSlots returns nil for an empty list, and so do fromStoredSlots, toStoredFounders and fromStoredFounders. Gob omits nil lists
+// and empty lists alike, so both are decoded as nil. A restored state must equal its original.
 func toStoredSlots(holders []membership.SlotHolder) (stored []storedSlot) {
 	for _, holder := range holders {
 		stored = append(stored, toStoredSlot(holder))
@@ -42,7 +42,7 @@
 
 func fromStoredSlots(stored []storedSlot) (holders []membership.SlotHolder) {
 	for _, s := range stored {
-		holders = append(holders, s.slotHolder())
+		holders = append(holders, s.toMembershipSlot())
 	}
 	return holders
 }
