--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -15,7 +15,7 @@
 const defaultRetryWindow = 10 * time.Second
 
 // Limiter enforces the quotas of tenants, which package quota calls customers. *quota.Limiter implements Limiter. A customer without a limit is not
-// limited. The creator of the Limiter sets the limits and the addresses of the other nodes. DatagramReceived reports whether requests that wait for
+// limited. The creator of the Limiter sets its limits and its gateways, which are the nodes. DatagramReceived reports whether requests that wait for
 // units should be checked again.
 type Limiter interface {
 	Now(now time.Duration)
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -24,7 +24,7 @@
 	decided []control.Decision // all decisions except wake-ups and log entries
 }
 
-// newHarness returns a harness with seed 1.
+// newHarness returns the result of newSeededHarness for seed 1.
 func newHarness(route Route, backends int) *harness { return newSeededHarness(1, route, backends) }
 
 // newSeededHarness returns a harness with a route, whose product ID is 1, to service 1. The service has ready backends with the IDs 1 to backends.
@@ -38,7 +38,7 @@
 	return h
 }
 
-// setBackends sets the state of the backends with the IDs from to to.
+// setBackends sets the state of all backends whose ID is at least from and at most to.
 func (h *harness) setBackends(state control.BackendState, from, to int) {
 	for i := from; i <= to; i++ {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(i), State: state, Capacity: 4, Service: 1}})
@@ -95,7 +95,7 @@
 			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject guarantees that the request has not run
 			must.Eq(t, provesNotRun || !key.effectful, want.retryable)
 		}
-		// The controller follows the table, with one attempt left and with none.
+		// The controller follows the table, both if one more attempt is allowed and if none is.
 		route := map[bool]Route{false: idempotentRoute, true: effectfulRoute}[key.effectful]
 		for route.MaxAttempts = 1; route.MaxAttempts <= 2; route.MaxAttempts++ {
 			h := newHarness(route, 3)
--- a/internal/gateway/admission/doc.go
+++ b/internal/gateway/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission makes the decisions of one node of the gateway. It decides which requests are admitted, to which service they go, when
-// they are sent to a backend, whether they are retried at another backend, and when they are answered with an error. The host, which does the
+// Package admission makes the decisions of one node of the gateway. It decides which requests are admitted, to which service a request goes, when
+// the request is sent to a backend, whether it is retried at another backend, and when it is answered with an error. The host, which does the
 // I/O, calls a Controller as package control describes. Package control calls a request a transaction (control.Txn). Requests of one route have
 // the same product ID (control.ProductID). SetRoute sets the rules of a route.
 //
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -161,7 +161,7 @@
 
 // PeakConcurrency returns the peak number of requests that this node had in flight at a service. During a roll-out it is the sum of the peaks of
 // both versions. A peak is the highest average over a span of ten seconds, in the present period of 30 minutes and the period before it. 0 means
-// that no span with requests has ended in these periods.
+// that no peak is known, because no submission was recorded in these periods.
 func (c *Controller) PeakConcurrency(id control.ServiceID) float64 {
 	s := c.getOrCreateService(id)
 	peak := s.concurrency.highestPeak()
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -55,7 +55,7 @@
 	return balancer.Request{Kind: t.Product, Effectful: t.route.Effectful, Attempted: t.attempted}
 }
 
-// mayRunAgain reports whether the request may run from now on: it certainly has not run, or it is idempotent.
+// mayRunAgain reports whether the request may be sent again. It may if it certainly has not run or if it is idempotent.
 func (t *txn) mayRunAgain() bool { return !t.mayHaveRun || !t.route.Effectful }
 
 // mayUseVersion reports whether the request may be sent to its chosen version. It is called again before each submission, because the access to a
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -10,7 +10,8 @@
 	"clovergap/control"
 )
 
-// fixture is a balancer together with simulated backends. Unless a test sets other backends, it has backends 1 to 6, and its zone has 1 to 3.
+// fixture is a balancer together with simulated backends. The fixture that newFixture returns has backends 1 to 6, of which 1 to 3
+// are in the balancer's zone.
 type fixture struct {
 	*Balancer
 	now           time.Duration
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -28,8 +28,7 @@
 }
 
 // expectedTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
-// maxSlowdown counts as maxSlowdown. expectedLatency is the largest typical latency of the kinds of requests that were sent to the backend since
-// it last had no unanswered request.
+// maxSlowdown counts as maxSlowdown.
 func (b *backendState) expectedTime(factor float64) time.Duration {
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
--- a/internal/gateway/balancer/tuning.go
+++ b/internal/gateway/balancer/tuning.go
@@ -132,8 +132,8 @@
 	valueLossSmoothing = 0.05
 	// overloadValueLoss is the value loss above which a zone is overloaded.
 	overloadValueLoss = 0.1
-	// initialValueLoss is the assumed value loss of the other zones while nothing is known of these zones. Nothing is known of them at the start,
-	// and after valueLossTTL without a response from them.
+	// initialValueLoss is the assumed value loss of the other zones while no value is known. No value is known at the start, and after valueLossTTL
+	// without a response from the other zones.
 	initialValueLoss = 0.04
 	valueLossTTL     = 4 * time.Second
 )
--- a/internal/gateway/balancer/zones.go
+++ b/internal/gateway/balancer/zones.go
@@ -27,7 +27,7 @@
 	return b.valueLoss[otherZones] < overloadValueLoss || b.valueLoss[otherZones]+crossZoneCost < b.valueLoss[ownZone]
 }
 
-// recordValueLoss updates the mean value loss of a backend's zone, or of all other zones, with the value loss of a response.
+// recordValueLoss updates the mean value loss with the value loss of a response. There is one mean for this zone and one for all other zones.
 func (b *Balancer) recordValueLoss(now time.Duration, backend *backendState, loss float64) {
 	locality := b.locality(backend.Zone)
 	if locality == otherZones {
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -26,7 +26,7 @@
 )
 
 // MaySendFounders reports whether the list of the founders of a cluster may be sent to a node. The list may be sent to seeds at any
-// time, and each seed stores only the first list that it receives. The list may be sent to all other nodes once more than half of
+// time, and each seed accepts the founders of a single cluster. The list may be sent to all other nodes once more than half of
 // the seeds have stored it. So only the founders of a single cluster can be sent to nodes that are not seeds. A seed without a disk
 // cannot store a list. While such a seed is live, it counts as if it had stored every list.
 func (r *Roster) MaySendFounders(clusterID uint64, addr string) bool {
--- a/internal/gateway/membership/doc.go
+++ b/internal/gateway/membership/doc.go
@@ -1,11 +1,12 @@
 // Package membership tracks what one node knows of the nodes in its deployment: which nodes exist, which are live, which slot each
-// one has, which nodes this node keeps links to, and which nodes bootstrap the core (see Terms) when the deployment starts for the
+// node has, which nodes this node keeps links to, and which nodes bootstrap the core (see Terms) when the deployment starts for the
 // first time. The package makes decisions only. Its caller, the host, does the I/O: it passes inputs to a Roster, and then calls
 // Next repeatedly and performs the returned actions until Next returns none.
 //
 // # Terms
 //
-//   - Node: one process of the gateway. Its name in this package is the inner address at which it accepts links.
+//   - Node: one process of the gateway. In this package a node is identified by the inner address at which it accepts links.
+//   - Link: a connection on which a node sends frames to another node. Each of two nodes sends on a link of its own.
 //   - Core: the replicated group of nodes that orders the configuration log. The state of the core is stored on the disks of its
 //     members.
 //   - Disk: the ID of a node's disk, drawn at random when the disk was empty. Nodes with a disk are candidates for the core.
@@ -34,7 +35,7 @@
 //
 // # Links
 //
-// Nodes with a disk want links to all nodes. Nodes without a disk want links only to nodes with one. So the number of links grows
+// Nodes with a disk want links to all nodes. Nodes without a disk want links only to nodes with a disk. So the number of links grows
 // with the number of nodes and not with the square of that number. Two nodes without a disk are linked only while one of the two may
 // not know any other node yet. See updateLink.
 //
@@ -55,5 +56,5 @@
 // # Limits
 //
 // The package does no I/O, reads no clock and draws no random numbers. Once the core exists, package replication decides which node
-// leads it and which nodes are its members. Slots are assigned by the log and passed in with SetSlots.
+// leads the core and which nodes are its members. Slots are assigned by the log and passed in with SetSlots.
 package membership
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -3,23 +3,23 @@
 import "time"
 
 // Hellos are sent when a link comes up and when the description of a node changes, and are repeated while they are not
-// acknowledged. Without the repeats, a lost hello would leave a node with no description of the other node, or with an outdated
-// one. The first node could then not use the other node for anything as long as the link lasts.
+// acknowledged. Without the repeats, a lost hello would leave a node without a current description of the other node. The first
+// node could then not use the other node as long as the link lasts.
 const (
 	// helloInterval is the minimum time between two hellos to a node, not counting those sent because a link came up or a
 	// description changed.
 	helloInterval = time.Second
-	// maxHelloRepeats limits the repeats to a node while neither side changes, because versions that do not support
-	// acknowledgements never confirm a hello.
+	// maxHelloRepeats limits the repeated hellos to a node while the descriptions of both nodes stay the same. Versions of the
+	// program that do not support acknowledgements never confirm a hello.
 	maxHelloRepeats = 6
 )
 
 // helloState records which hellos were sent to a peer and what the peer has acknowledged.
 type helloState struct {
 	sentAt time.Duration // time of the last hello to the peer
-	// acknowledged is the fingerprint of the peer's description that the last hello to it acknowledged. 0 means none.
+	// acknowledged is the fingerprint in the last hello to the peer, which acknowledges the peer's description. 0 means none.
 	acknowledged uint64
-	repeats      int  // number of repeats since either side last changed
+	repeats      int  // number of repeated hellos since this node's or the peer's description changed
 	confirmed    bool // the peer has acknowledged this node's current description
 }
 
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -17,7 +17,7 @@
 	ControlAddr  string // where the node accepts control calls
 	Zone         string
 	Disk         DiskID
-	FirstStart   bool   // this is the first start of the whole deployment
+	FirstStart   bool   // the node was started as part of the first start of the whole deployment
 	Incarnation  uint64 // drawn at random at each start of the process
 	Bootstrapped bool   // the node's disk holds a state of the core
 	Leaving      bool   // the node is shutting down
@@ -58,7 +58,7 @@
 	Acknowledged uint64
 }
 
-// Founder is a node whose disk is among the first members of the core. The core's log stores it under these field names.
+// Founder is a node whose disk is among the first members of the core. The core's log stores these fields under their names here.
 type Founder struct {
 	Disk DiskID
 	Addr string
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// Guards against a knob that disables another safeguard than the one that it names.
+// Guards against a knob that disables other safeguards than its name says.
 func TestKnobsDisableOnlyTheirSafeguard(t *testing.T) {
 	granted := func(knobs TestingKnobs) (permissions []Permission) {
 		tracker := New(Config{Replica: &fakeReplica{leaderKnown: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -32,7 +32,7 @@
 }
 
 // Decide returns the result that Apply would return now for an entry that concerns a configuration or a roll-out. For all other kinds
-// it returns Accepted, because only Apply decides on these.
+// it returns Accepted, because only Apply validates such entries.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
 		return handleRolloutEntry(body, m.Rollouts.Decide)
