--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -63,7 +63,7 @@
 
 	txns          map[control.TxnID]*txn
 	timers        timerqueue.Queue[timer]
-	undecided     []*txn             // requests to pass to decide, in order
+	undecided     []*txn             // requests to pass to decideNextStep, in order
 	awaitingUnits []*txn             // requests that wait for units of their tenant's quota
 	recheckUnits  bool               // the requests in awaitingUnits are to be decided again
 	decisions     []control.Decision // made, but not yet returned by Next
@@ -152,7 +152,7 @@
 		if len(c.undecided) > 0 {
 			t := c.undecided[0]
 			c.undecided = c.undecided[1:]
-			c.decide(t)
+			c.decideNextStep(t)
 			continue
 		}
 		if c.sendQueued() {
@@ -160,7 +160,7 @@
 		}
 		if c.now-c.periodicWorkAt >= c.periodicWorkInterval() {
 			c.periodicWorkAt = c.now
-			c.periodicWork()
+			c.doPeriodicWork()
 			continue
 		}
 		if c.limiter.NextDeadline() <= c.now {
@@ -193,9 +193,9 @@
 	return sweepInterval
 }
 
-// periodicWork marks all waiting requests for another check, because backoffs of backends may have ended. Once per sweepInterval it removes
+// doPeriodicWork marks all waiting requests for another check, because backoffs of backends may have ended. Once per sweepInterval it removes
 // services that are no longer used. Once per logInterval it logs a summary if there were any events.
-func (c *Controller) periodicWork() {
+func (c *Controller) doPeriodicWork() {
 	c.recheckUnits = len(c.awaitingUnits) > 0
 	for _, s := range c.services {
 		s.recheck = len(s.queue) > 0
@@ -203,7 +203,7 @@
 	if c.now-c.sweptAt >= sweepInterval {
 		c.sweptAt = c.now
 		for _, s := range c.services {
-			s.concurrency.advance(c.now)
+			s.concurrency.endSpanIfOver(c.now)
 		}
 		c.services = slices.DeleteFunc(c.services, func(s *service) bool {
 			return s.txnCount == 0 && s.balancer.IsEmpty() && s.baseline == nil && s.canary == nil && !c.isRouteTarget(s)
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -13,7 +13,7 @@
 func (c *Controller) enqueue(t *txn) {
 	s := t.service
 	if len(s.queue) >= maxQueueLength {
-		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
+		c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	if t.Customer != 0 && !t.unitsConsumed && !t.unitsReserved {
@@ -89,7 +89,7 @@
 		s.queue = slices.Delete(s.queue, i, i+1)
 		t.queued = false
 		if result == balancer.NoBackend {
-			c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
+			c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		} else {
 			c.submit(t, backend)
 		}
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -45,16 +45,16 @@
 		controller.SetZoneIndex(i/2, 2)
 		controllers = append(controllers, controller)
 	}
-	endpoint := func(id int, state control.BackendState) control.Endpoint {
+	newEndpoint := func(id int, state control.BackendState) control.Endpoint {
 		return control.Endpoint{ID: control.BackendID(id), Zone: control.ZoneID(id % 2), State: state, Capacity: 4, Service: control.ServiceID(1 + id%3),
 			WarmingUntil: map[bool]time.Duration{true: now + 3*time.Second}[id%5 == 0]}
 	}
 	for id := 1; id <= backends; id++ {
 		for _, controller := range controllers {
-			controller.EndpointsChanged(false, []control.Endpoint{endpoint(id, control.Ready)})
+			controller.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, control.Ready)})
 		}
 	}
-	paused := func(step int) bool { return step%1500 > 1420 } // the steps in which node 1 is paused
+	isNode1Paused := func(step int) bool { return step%1500 > 1420 } // the steps in which node 1 is paused
 	submissions := map[[2]int]int{}
 	answered := map[[2]int]bool{}
 	inFlight := [backends + 1]int{}
@@ -81,12 +81,12 @@
 		if step%400 == 399 {
 			id, state := 1+rng.Intn(backends), []control.BackendState{control.Ready, control.Draining, control.Gone}[rng.Intn(3)]
 			for _, controller := range controllers {
-				controller.EndpointsChanged(false, []control.Endpoint{endpoint(id, state)})
+				controller.EndpointsChanged(false, []control.Endpoint{newEndpoint(id, state)})
 			}
 		}
 		remaining := events[:0]
 		for _, e := range events {
-			if e.at > now || e.node == 1 && paused(step) {
+			if e.at > now || e.node == 1 && isNode1Paused(step) {
 				remaining = append(remaining, e)
 				continue
 			}
@@ -125,7 +125,7 @@
 		}
 		events = remaining
 		for i, controller := range controllers {
-			if i == 1 && paused(step) {
+			if i == 1 && isNode1Paused(step) {
 				continue
 			}
 			controller.Now(now)
--- a/internal/gateway/admission/route.go
+++ b/internal/gateway/admission/route.go
@@ -72,9 +72,9 @@
 
 // chooseService chooses one of a route's targets by weight. It prefers targets with a ready backend. It returns nil if all weights are 0.
 func (c *Controller) chooseService(route *Route) *service {
-	ready := func(s *service) bool { return s.readyBackendCount() > 0 }
+	hasReadyBackend := func(s *service) bool { return s.readyBackendCount() > 0 }
 	anyService := func(*service) bool { return true }
-	if s := c.chooseByWeight(route, ready); s != nil {
+	if s := c.chooseByWeight(route, hasReadyBackend); s != nil {
 		return s
 	}
 	return c.chooseByWeight(route, anyService)
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -140,8 +140,8 @@
 	peaks         [2]float64    // highest average of the present period and of the period before it
 }
 
-// advance ends the present span if concurrencySpan has passed since its start.
-func (c *concurrency) advance(now time.Duration) {
+// endSpanIfOver ends the present span if concurrencySpan has passed since its start.
+func (c *concurrency) endSpanIfOver(now time.Duration) {
 	if now-c.spanStart < concurrencySpan {
 		return
 	}
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -48,7 +48,7 @@
 	switch kind {
 	case timerDeadline:
 		if !t.answerStarted && c.now >= t.deadline {
-			c.finish(t, control.ReasonNoTime, 0)
+			c.answerRequest(t, control.ReasonNoTime, 0)
 		}
 	case timerGiveUp:
 		c.handleGiveUpTime(t)
@@ -64,7 +64,7 @@
 	case t.ended || t.inFlight || c.now < t.giveUpAt:
 	case t.queued && c.fallBackToBaseline(t):
 	case t.queued:
-		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
+		c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
 	case t.awaitsUnits:
 		c.awaitingUnits = slices.DeleteFunc(c.awaitingUnits, func(other *txn) bool { return other == t })
 		t.awaitsUnits = false
--- a/internal/gateway/admission/txn.go
+++ b/internal/gateway/admission/txn.go
@@ -90,14 +90,14 @@
 	c.counts.arrived++
 }
 
-// decide determines how a request without a submission in flight proceeds: the request is queued, waits for units, or is answered.
-func (c *Controller) decide(t *txn) {
+// decideNextStep determines how a request without a submission in flight proceeds: the request is queued, waits for units, or is answered.
+func (c *Controller) decideNextStep(t *txn) {
 	if t.ended || t.inFlight || t.queued || t.awaitsUnits {
 		return
 	}
 	if t.service == nil {
 		if t.service = c.chooseService(t.route); t.service == nil {
-			c.finish(t, control.ReasonNoBackend, noBackendRetryAfter)
+			c.answerRequest(t, control.ReasonNoBackend, noBackendRetryAfter)
 			return
 		}
 		t.service.txnCount++
@@ -107,9 +107,9 @@
 	}
 	switch {
 	case !c.canMeetDeadline(t):
-		c.finish(t, control.ReasonNoTime, c.retryAfterTime(t.service))
+		c.answerRequest(t, control.ReasonNoTime, c.retryAfterTime(t.service))
 	case t.submissions > 0 && !c.mayRetry(t):
-		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
+		c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(t.service))
 	case c.checkQuota(t):
 		c.enqueue(t)
 	}
@@ -125,11 +125,11 @@
 		SLA: time.Duration(quotaTargetShare * float64(t.targetAt-t.arrivedAt))}
 	switch outcome, retryAt := c.limiter.Check(t.Customer, request); outcome {
 	case quota.Exceeded:
-		c.finish(t, control.ReasonNoUnits, retryAt)
+		c.answerRequest(t, control.ReasonNoUnits, retryAt)
 		return false
 	case quota.Pending:
 		if retryAt = min(retryAt, t.targetAt); retryAt <= c.now {
-			c.finish(t, control.ReasonNoUnits, waitingInterval)
+			c.answerRequest(t, control.ReasonNoUnits, waitingInterval)
 			return false
 		}
 		t.awaitsUnits = true
@@ -170,21 +170,21 @@
 	s := t.service
 	c.advanceBudget(s)
 	if t.attempts > 0 && t.attempts >= t.route.MaxAttempts { // LowerMaxAttempts was called while the request was queued
-		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
+		c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	allowed := !t.ended && !t.inFlight && t.mayRunAgain() && t.attempts < t.route.MaxAttempts &&
 		!slices.Contains(t.attempted, backend) && t.mayUseVersion()
 	invariant.Assert(allowed, "a request is submitted only to a backend to which it may be sent")
 	if !allowed || !c.canMeetDeadline(t) {
-		c.finish(t, control.ReasonNoTime, c.retryAfterTime(s))
+		c.answerRequest(t, control.ReasonNoTime, c.retryAfterTime(s))
 		return
 	}
 	switch {
 	case t.submissions == 0:
 		s.budget.depositTokens(depositShare * c.config.RetryRatio)
 	case t.attempts > 0 && !s.budget.withdrawToken():
-		c.finish(t, control.ReasonNoBackend, c.retryAfterTime(s))
+		c.answerRequest(t, control.ReasonNoBackend, c.retryAfterTime(s))
 		return
 	}
 	c.consumeUnits(t)
@@ -239,11 +239,11 @@
 	c.counts.countEnding(ending)
 	switch {
 	case next.answer == noFurtherAnswer || t.ended:
-		c.forget(t)
+		c.removeRequest(t)
 	case ending == control.TimedOut: // the deadline has passed
-		c.finish(t, control.ReasonNoTime, 0)
+		c.answerRequest(t, control.ReasonNoTime, 0)
 	case !next.retryable || !t.mayRunAgain():
-		c.finish(t, control.ReasonNoBackend, 0)
+		c.answerRequest(t, control.ReasonNoBackend, 0)
 	default:
 		c.undecided = append(c.undecided, t)
 	}
@@ -285,7 +285,7 @@
 			c.cancelSubmission(t)
 		}
 	}
-	c.forget(t)
+	c.removeRequest(t)
 }
 
 // cancelSubmission cancels the submission in flight of a request.
@@ -293,9 +293,9 @@
 	c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 }
 
-// finish answers a request with Reject or Fail and removes it. No other function sends these answers. Reject guarantees that the request has not run
+// answerRequest answers a request with Reject or Fail and removes it. No other function sends these answers. Reject guarantees that the request has not run
 // and never will.
-func (c *Controller) finish(t *txn, reason control.Reason, retryAfter time.Duration) {
+func (c *Controller) answerRequest(t *txn, reason control.Reason, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
@@ -308,12 +308,12 @@
 	if t.inFlight && !t.cancelRequested {
 		c.cancelSubmission(t)
 	}
-	c.forget(t)
+	c.removeRequest(t)
 }
 
-// forget ends a request. It removes the request from all tables, but keeps a request with a submission in flight in Controller.txns until that
+// removeRequest ends a request. It removes the request from all tables, but keeps a request with a submission in flight in Controller.txns until that
 // submission has ended.
-func (c *Controller) forget(t *txn) {
+func (c *Controller) removeRequest(t *txn) {
 	t.ended = true
 	c.releaseUnits(t)
 	same := func(other *txn) bool { return other == t }
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -111,7 +111,7 @@
 	f := newFixture(1)
 	f.sendRequests(60, Request{})
 	f.endings[2] = control.ConnectionLost
-	f.sendRequests(300, Request{}) // takes six seconds
+	f.sendRequests(300, Request{}) // takes 6 s
 	must.Between(t, 2, f.chosen[2], 15)
 	f.sendRequests(300, Request{Effectful: true})
 	must.Less(t, 3, f.chosen[2])
@@ -248,7 +248,7 @@
 			return n
 		}
 		must.Eq(t, minSubset, subsetSize())
-		sendEvery := func(n int, gap time.Duration) (toSubset int) {
+		sendWithInterval := func(n int, gap time.Duration) (toSubset int) {
 			f.sendRequests(0, Request{})
 			for range n {
 				f.now += gap - 20*time.Millisecond
@@ -265,9 +265,9 @@
 			}
 			return toSubset
 		}
-		sendEvery(60, 300*time.Millisecond)
+		sendWithInterval(60, 300*time.Millisecond)
 		must.Between(t, 6, subsetSize(), 8)
-		toSubset := sendEvery(200, 300*time.Millisecond)
+		toSubset := sendWithInterval(200, 300*time.Millisecond)
 		must.Between(t, 180, toSubset, 199)
 		must.Greater(t, 12, len(f.chosen)) // of 42 backends, in one minute
 		for _, b := range balancer.ordered {
@@ -277,10 +277,10 @@
 		}
 		first := balancer.zoneIndex * backends / nodes
 		must.False(t, balancer.ordered[first].outsideSubset)
-		sendEvery(60, 50*time.Millisecond)
+		sendWithInterval(60, 50*time.Millisecond)
 		must.Eq(t, maxSubsetByRate, subsetSize())
 		must.False(t, balancer.ordered[first].outsideSubset)
-		sendEvery(30, 2*time.Second)
+		sendWithInterval(30, 2*time.Second)
 		must.Eq(t, minSubset, subsetSize())
 		must.False(t, balancer.ordered[first].outsideSubset)
 	}
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -28,7 +28,7 @@
 		backend.secondUnansweredAt = now
 	}
 	backend.sentAt = now
-	b.recordSend(now)
+	b.updateRequestRate(now)
 	backend.unanswered++
 	backend.inFlight++
 	b.inFlight++
@@ -52,7 +52,7 @@
 		return
 	}
 	dead := b.IsDead(now, id)
-	b.countEnded(now, backend, outcome.Ending)
+	b.removeFromInFlight(now, backend, outcome.Ending)
 	switch outcome.Ending {
 	case control.Canceled:
 		if dead || wasUnresponsiveWhenCanceled(backend, outcome) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// countEnded updates the numbers of requests in flight and of unanswered requests at the end of a request.
-func (b *Balancer) countEnded(now time.Duration, backend *backendState, ending control.Ending) {
+// removeFromInFlight removes a request that has ended from the counts of requests in flight and of unanswered requests.
+func (b *Balancer) removeFromInFlight(now time.Duration, backend *backendState, ending control.Ending) {
 	backend.inFlight--
 	b.inFlight--
 	if backend.State == control.Gone && backend.inFlight == 0 {
@@ -98,7 +98,7 @@
 // wasUnresponsiveWhenCanceled reports whether a backend was unresponsive when a request was canceled because its client had left. Such a cancellation
 // counts as a failure. If all clients leave early, no request times out, so only cancellations show that the backend does not respond.
 func wasUnresponsiveWhenCanceled(backend *backendState, o Outcome) bool {
-	return o.ClientLeft && !o.ProcessPaused && o.Took > backend.unresponsiveTime()
+	return o.ClientLeft && !o.ProcessPaused && o.Took > backend.unresponsiveTimeout()
 }
 
 // recordRejection starts the backoff of a backend that rejected a request. The backoff doubles with each consecutive rejection. A rejection also lowers
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -16,20 +16,20 @@
 	if backend.unanswered == 1 {
 		factor = singleUnresponsiveFactor
 	}
-	if now-backend.unansweredSince <= max(minUnresponsiveTime, backend.expectedTime(factor)) {
+	if now-backend.unansweredSince <= max(minUnresponsiveTime, backend.expectedResponseTime(factor)) {
 		return false
 	}
 	return r.Effectful || now-backend.sentAt < trialInterval
 }
 
-// unresponsiveTime returns the time after which a backend with several unanswered requests is unresponsive.
-func (b *backendState) unresponsiveTime() time.Duration {
-	return max(minUnresponsiveTime, b.expectedTime(unresponsiveFactor))
+// unresponsiveTimeout returns the time after which a backend with several unanswered requests is unresponsive.
+func (b *backendState) unresponsiveTimeout() time.Duration {
+	return max(minUnresponsiveTime, b.expectedResponseTime(unresponsiveFactor))
 }
 
-// expectedTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
+// expectedResponseTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
 // maxSlowdown counts as maxSlowdown.
-func (b *backendState) expectedTime(factor float64) time.Duration {
+func (b *backendState) expectedResponseTime(factor float64) time.Duration {
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
@@ -44,9 +44,9 @@
 	if backend.unanswered < deadUnanswered && backend.State != control.Gone && !backend.suspect {
 		return false
 	}
-	if backend.unanswered >= deadUnanswered && now-backend.secondUnansweredAt <= backend.expectedTime(deadSecondFactor) {
+	if backend.unanswered >= deadUnanswered && now-backend.secondUnansweredAt <= backend.expectedResponseTime(deadSecondFactor) {
 		return false
 	}
-	timeout := backend.unresponsiveTime()
+	timeout := backend.unresponsiveTimeout()
 	return now-backend.unansweredSince > timeout && b.lastResponseAt > backend.unansweredSince+timeout/2
 }
--- a/internal/gateway/balancer/subset.go
+++ b/internal/gateway/balancer/subset.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// recordSend counts a request and adjusts the size of the subset to the request rate. It grows the subset at once. It shrinks the subset only if
-// the size that the rate requires is well below the present size.
-func (b *Balancer) recordSend(now time.Duration) {
+// updateRequestRate counts a request that is sent, and updates the request rate and the size of the subset once per rateWindow. The subset grows at
+// once. It shrinks only if the size that the rate requires is well below the present size.
+func (b *Balancer) updateRequestRate(now time.Duration) {
 	s := &b.subset
 	if s.sent++; s.countedSince == 0 {
 		s.countedSince = now
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -24,7 +24,7 @@
 		node.LinkUp("disk")
 		disk.LinkUp("node")
 		sent, last := 0, time.Duration(0)
-		carry := func(from, to *Roster) {
+		deliverHellos := func(from, to *Roster) {
 			for _, a := range takeActions(from) {
 				if a.Kind != SendHello || a.Addr != to.self.Addr {
 					continue
@@ -46,8 +46,8 @@
 				r.Tick(now)
 				r.FrameReceived(map[*Roster]string{node: "disk", disk: "node"}[r]) // other frames keep both nodes reachable
 			}
-			carry(node, disk)
-			carry(disk, node)
+			deliverHellos(node, disk)
+			deliverHellos(disk, node)
 		}
 		must.True(t, node.IsLive("disk"), must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -60,16 +60,16 @@
 // sends to another node. The other node's hellos may arrive over a second link. So the inputs of different nodes, and the hellos and
 // the link events of one node, may come in any order.
 func TestEventOrdersConverge(t *testing.T) {
-	hello := func(a string, disk DiskID, incarnation uint64, known ...string) event {
+	helloEvent := func(a string, disk DiskID, incarnation uint64, known ...string) event {
 		return func(r *Roster) {
 			r.HandleHello(a, Hello{Node: Node{Name: a, Addr: "elsewhere", Disk: disk, Incarnation: incarnation}, KnownAddrs: known})
 		}
 	}
-	up := func(a string) event { return func(r *Roster) { r.LinkUp(a) } }
-	down := func(a string) event { return func(r *Roster) { r.LinkDown(a) } }
+	linkUpEvent := func(a string) event { return func(r *Roster) { r.LinkUp(a) } }
+	linkDownEvent := func(a string) event { return func(r *Roster) { r.LinkDown(a) } }
 	orderCount := 0
-	forEachInterleaving([][]event{{hello("a", 1, 1, "b", "x"), up("a")}, {down("b"), up("b")},
-		{hello("b", 2, 1), hello("b", 3, 2)}, {up("d"), down("d")}, {hello("d", 4, 1)}}, func(order []event) {
+	forEachInterleaving([][]event{{helloEvent("a", 1, 1, "b", "x"), linkUpEvent("a")}, {linkDownEvent("b"), linkUpEvent("b")},
+		{helloEvent("b", 2, 1), helloEvent("b", 3, 2)}, {linkUpEvent("d"), linkDownEvent("d")}, {helloEvent("d", 4, 1)}}, func(order []event) {
 		r := New(Node{Addr: "me", Disk: 9}, Config{Seeds: []string{"me", "a", "b", "d"}, ToleratedLosses: 1}, 0)
 		var actions []Action
 		for _, e := range order {
@@ -414,7 +414,7 @@
 			sim.nodes[n].SetSlots(holders)
 		}
 	}
-	linked := func(n string) (addrs string) {
+	linkedAddrs := func(n string) (addrs string) {
 		for _, a := range sim.nodes[n].Addrs() {
 			if sim.nodes[n].peers[a].linkWanted {
 				addrs += a
@@ -443,24 +443,24 @@
 	sim.runUntil(3 * time.Second)
 	assignSlots()
 	reportLiveness(10 * time.Second)
-	must.Eq(t, "bcdefg", linked("a"))
+	must.Eq(t, "bcdefg", linkedAddrs("a"))
 	for _, n := range []string{"d", "e", "f", "g"} {
-		must.Eq(t, "abc", linked(n))
+		must.Eq(t, "abc", linkedAddrs(n))
 		must.True(t, sim.nodes[n].IsLive("d")) // as reported by the nodes with a disk
 		must.Eq(t, []string{"a", "b", "c"}, sim.nodes[n].HelloTo("f").KnownAddrs)
 	}
 	sim.nodes["a"].stopped = true // the only seed with a disk
 	sim.startNode("h", 0, false)
 	reportLiveness(time.Second)
-	must.Eq(t, "abcde", linked("h")) // a is a seed and may come back
+	must.Eq(t, "abcde", linkedAddrs("h")) // a is a seed and may come back
 	assignSlots()
 	reportLiveness(10 * time.Second)
-	must.Eq(t, "abc", linked("h"))
-	must.Eq(t, "abc", linked("d"))
+	must.Eq(t, "abc", linkedAddrs("h"))
+	must.Eq(t, "abc", linkedAddrs("d"))
 	sim.stopNodes("b", "c")
 	sim.runUntil(sim.now + 4*time.Second)
-	must.Eq(t, "abcde", linked("h"))
-	must.Eq(t, "abce", linked("d"))
+	must.Eq(t, "abcde", linkedAddrs("h"))
+	must.Eq(t, "abce", linkedAddrs("d"))
 }
 
 // Guards against a node that considers its upstream lost after a stall of its own process. Such a node changed to another upstream,
@@ -492,7 +492,7 @@
 // bootstraps the core, or is partitioned for 1.2 s. After the stall it must first read the frames that the other nodes have sent.
 // During the partition it must not count nodes that have sent nothing for longer than bootstrapContactTimeout.
 func TestIsolatedSeedDoesNotBootstrap(t *testing.T) {
-	bootstraps := func(pause time.Duration, othersSend bool) bool {
+	firstSeedBootstraps := func(pause time.Duration, othersSend bool) bool {
 		r := New(Node{Addr: "a", Disk: 1, FirstStart: true}, Config{Seeds: []string{"a", "b", "c"}, ToleratedLosses: 1, ClusterID: testClusterID}, 0)
 		for i, n := range []string{"b", "c"} {
 			r.HandleHello(n, Hello{Node: Node{Name: n, Disk: DiskID(i + 2), FirstStart: true, Incarnation: 1}})
@@ -512,9 +512,9 @@
 		}
 		return countActions(actions, Bootstrap, "a") > 0
 	}
-	must.True(t, bootstraps(0, true))
-	must.False(t, bootstraps(6*time.Second, true)) // another node has bootstrapped the core
-	must.False(t, bootstraps(800*ms, false))       // no frame came for 1.2 s
+	must.True(t, firstSeedBootstraps(0, true))
+	must.False(t, firstSeedBootstraps(6*time.Second, true)) // another node has bootstrapped the core
+	must.False(t, firstSeedBootstraps(800*ms, false))       // no frame came for 1.2 s
 }
 
 // Guards against two clusters that both accept changes. Nodes a, b and c are the seeds. Nodes d and e also have a disk, and a is
--- a/internal/gateway/quorumcontact/tracker_test.go
+++ b/internal/gateway/quorumcontact/tracker_test.go
@@ -110,7 +110,7 @@
 
 // Guards against a knob that disables other safeguards than its name says.
 func TestKnobsDisableOnlyTheirSafeguard(t *testing.T) {
-	granted := func(knobs TestingKnobs) (permissions []Permission) {
+	grantedPermissions := func(knobs TestingKnobs) (permissions []Permission) {
 		tracker := New(Config{Replica: &fakeReplica{leaderKnown: true, contact: true, age: time.Hour}, Bounds: fixedBounds{}, Knobs: &knobs})
 		for p := range Permission(len(rules)) {
 			if tracker.Permits(p, true, 2*time.Hour) {
@@ -120,10 +120,10 @@
 		return permissions
 	}
 	every := []Permission{ServeClients, RefuseRequests, AcceptCalls, StreamLog, AcknowledgeBackend, AcknowledgeDrain, RequestSlot}
-	must.SliceEmpty(t, granted(TestingKnobs{}))
-	must.Eq(t, every, granted(TestingKnobs{GrantAll: true}))
-	must.Eq(t, every, granted(TestingKnobs{TrustHeardLeader: true}))
-	must.Eq(t, []Permission{AcknowledgeDrain}, granted(TestingKnobs{AckDrainWithoutContact: true}))
-	must.Eq(t, []Permission{ServeClients, RefuseRequests}, granted(TestingKnobs{ServeWithoutContact: true}))
-	must.Eq(t, []Permission{AcceptCalls}, granted(TestingKnobs{QueueWithoutContact: true}))
+	must.SliceEmpty(t, grantedPermissions(TestingKnobs{}))
+	must.Eq(t, every, grantedPermissions(TestingKnobs{GrantAll: true}))
+	must.Eq(t, every, grantedPermissions(TestingKnobs{TrustHeardLeader: true}))
+	must.Eq(t, []Permission{AcknowledgeDrain}, grantedPermissions(TestingKnobs{AckDrainWithoutContact: true}))
+	must.Eq(t, []Permission{ServeClients, RefuseRequests}, grantedPermissions(TestingKnobs{ServeWithoutContact: true}))
+	must.Eq(t, []Permission{AcceptCalls}, grantedPermissions(TestingKnobs{QueueWithoutContact: true}))
 }
