--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -73,8 +73,8 @@
 }
 
 // chooseVersion chooses the version for a request's next submission. A first submission goes to the version to which its user is assigned. A
-// retry goes to the baseline version. If the baseline version has no backend, a canary with CanaryFallback gets all requests. A canary with
-// CanaryShared then gets only the retries of requests that began at the canary.
+// retry goes to the baseline version. If the baseline version has no backend for a request, a canary with CanaryFallback gets the request. A canary
+// with CanaryShared then gets the request only if it is a retry and the request was assigned to the canary.
 func (c *Controller) chooseVersion(t *txn) {
 	baseline := t.service.baselineVersion()
 	canary := baseline.canary
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -52,8 +52,8 @@
 	zoneNodes int // number of nodes in this zone
 
 	now            time.Duration
-	periodicWorkAt time.Duration // last time of periodic work
-	sweptAt        time.Duration // last time that unused services were dropped
+	periodicWorkAt time.Duration // time of the last round of periodic work
+	sweptAt        time.Duration // last time that unused services were removed
 	wakeAt         time.Duration // time of the last requested wake-up
 	pausedUntil    time.Duration // end of the last pause of this process
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// SetZoneIndex sets the index of this node among the nodes of its zone, from 0, and their number.
+// SetZoneIndex sets the index of this node among the nodes of its zone, from 0, and the number of these nodes.
 func (c *Controller) SetZoneIndex(index, nodes int) {
 	c.zoneIndex, c.zoneNodes = index, nodes
 	for _, s := range c.services {
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -134,7 +134,7 @@
 	for now := time.Duration(0); now < 120*time.Second; now += 10 * time.Millisecond {
 		for i := range budgets {
 			budgets[i].advance(now, refillShare*64/nodes)
-			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts, and few requests between them
+			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts of requests, and few requests between the bursts
 				budgets[i].depositTokens(depositShare * 0.2)
 				firstSubmissions[s]++
 			}
--- a/internal/gateway/admission/queue.go
+++ b/internal/gateway/admission/queue.go
@@ -39,7 +39,8 @@
 	return c.now + time.Duration(retryQueueTimeShare*float64(timeLeft))
 }
 
-// compareQueued orders a queue by priority, then retries before first submissions, then by arrival.
+// compareQueued compares two requests by their order in a queue: by priority, then retries before requests that were never sent, then by arrival. It
+// returns -1 if both are equal, so that enqueue inserts a new request after equal requests.
 func compareQueued(a, b *txn) int {
 	switch {
 	case a.rank != b.rank:
--- a/internal/gateway/admission/route.go
+++ b/internal/gateway/admission/route.go
@@ -8,7 +8,7 @@
 	"clovergap/control"
 )
 
-// Target is a service that a route's requests may go to. Its share of the requests is its weight over the sum of the route's weights.
+// Target is a service to which a route's requests may go. The share of a target is its weight divided by the sum of the weights of the route.
 type Target struct {
 	Service control.ServiceID
 	Weight  int
--- a/internal/gateway/admission/timer.go
+++ b/internal/gateway/admission/timer.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// cancelAtDeadBackend cancels a submission at a dead backend if the request may go to another one. Otherwise it schedules another check.
+// cancelAtDeadBackend cancels a submission at a dead backend if the request may go to another backend. Otherwise it schedules another check.
 func (c *Controller) cancelAtDeadBackend(t *txn) {
 	if t.ended || !t.inFlight || t.cancelRequested || t.answerStarted || c.now < t.sentAt+minDeadTime {
 		return
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -170,7 +170,7 @@
 	return n
 }
 
-// HasBackend reports whether there is a ready backend that the request has not attempted.
+// HasBackend reports whether there is a ready backend to which the request has not been sent.
 func (b *Balancer) HasBackend(r Request) bool {
 	return slices.ContainsFunc(b.ordered, r.mayGoTo)
 }
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -119,7 +119,7 @@
 	f.sendRequests(600, Request{})
 	f.sendRequests(300, Request{})
 	must.Greater(t, 60, f.chosen[2])
-	// If all backends fail alike, all are still used.
+	// If all backends fail equally often, all backends still get requests.
 	for i := range 6 {
 		f.endings[control.BackendID(i+1)] = control.Errored
 	}
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -172,8 +172,8 @@
 	backend.suspect = true
 }
 
-// recordSuccess records a successful request of a backend. A suspect backend is then no longer suspect and gets a slow start. If the backend was
-// not suspect and few of its requests fail, the length of its next ejection is reset to minEjectionTime.
+// recordSuccess records a successful request of a backend. A suspect backend is no longer suspect afterwards, and its slow start begins. If the
+// backend was not suspect and few of its requests fail, the length of its next ejection is reset to minEjectionTime.
 func (b *backendState) recordSuccess(now time.Duration) {
 	if b.suspect {
 		b.suspect, b.slowStartFrom, b.failureShare = false, now, min(b.failureShare, failureThreshold/2)
--- a/internal/gateway/balancer/tuning.go
+++ b/internal/gateway/balancer/tuning.go
@@ -29,7 +29,7 @@
 	slowdownExponent = 1.6
 	minSlowdown      = 0.4
 	maxSlowdown      = 5.0
-	// overloadSlowdown is the slowdown above which a backend gets one request at a time. Its late responses do not lower the capacity.
+	// overloadSlowdown is the slowdown above which a backend gets one request at a time. Late responses of such a backend do not lower the capacity.
 	overloadSlowdown = 2.5
 	// warmUpShare is the factor on the share of a backend that is warming up. After the warm-up or an ejection the share grows to its full size
 	// over slowStartTime.
--- a/internal/gateway/membership/action.go
+++ b/internal/gateway/membership/action.go
@@ -9,7 +9,7 @@
 	Connect ActionKind = iota
 	// Disconnect asks to close the link to Addr and not to establish it again.
 	Disconnect
-	// SendHello asks to send Addr the result of HelloTo.
+	// SendHello asks to send the hello that HelloTo(Addr) returns to Addr.
 	SendHello
 	// Bootstrap asks to send the list of Founders of the core to Addr. If Addr is this node, the host stores the list itself.
 	Bootstrap
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -12,7 +12,7 @@
 	// bootstrapTimeout is how long a seed waits for the number of founders that Config.ToleratedLosses requires, which is
 	// 2*ToleratedLosses+1. After that time the seed bootstraps the core with fewer founders.
 	bootstrapTimeout = 3 * time.Second
-	// bootstrapSeedInterval is the delay between the turns of consecutive seeds.
+	// bootstrapSeedInterval is added to the delay before a seed may bootstrap the core, once for each seed before it in the settings.
 	bootstrapSeedInterval = 2500 * time.Millisecond
 	// bootstrapRestartDelay is added to the delay of a seed that is not at its first start, because another node that holds a
 	// state of the core may still appear.
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -53,7 +53,7 @@
 		must.Eq(t, disk.self, node.peers["disk"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.Eq(t, node.self, disk.peers["node"].Node, must.Sprintf("lost hellos %05b (lowest bit: first hello)", lost))
 		must.LessEq(t, hellos+4, sent)
-		must.Less(t, changes+(hellos+3)*helloInterval, last) // no hello is sent after that
+		must.Less(t, changes+(hellos+3)*helloInterval, last) // after this time no hello is sent
 	}
 }
 
--- a/internal/gateway/membership/node.go
+++ b/internal/gateway/membership/node.go
@@ -4,7 +4,7 @@
 // slots.
 type Slot int
 
-// NoSlot is the slot of a node that has not been assigned one yet.
+// NoSlot is the slot of a node to which no slot has been assigned yet.
 const NoSlot Slot = -1
 
 // DiskID identifies a node's disk. 0 means that the node has no disk. A wiped disk gets a new ID.
@@ -24,7 +24,7 @@
 	ClusterID    uint64 // ID of the cluster whose state the node's disk holds; 0 if it holds none
 }
 
-// The parameters of the 64-bit FNV-1a hash.
+// The constants of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 0xcbf29ce484222325
 	fnvPrime  = 0x100000001b3
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxNodes limits the number of other nodes that are known. It equals the maximum number of slots.
+// maxNodes is the maximum number of other nodes that a roster keeps. It equals the maximum number of slots.
 const maxNodes = 1024
 
-// Config describes the deployment to a roster. It is the same at all nodes.
+// Config describes the deployment. All nodes have the same Config.
 type Config struct {
 	Seeds           []string               // inner addresses in the order of the settings; if empty, no node bootstraps the core
 	ToleratedLosses int                    // number of nodes with a disk that may be lost at once
@@ -51,7 +51,7 @@
 	live          bool          // see the package comment
 }
 
-// New returns a roster that knows only its seeds.
+// New returns a roster that contains only the seeds.
 func New(self Node, config Config, now time.Duration) *Roster {
 	r := &Roster{now: now, startedAt: now, self: self, config: config, peers: map[string]*peer{}, slots: map[string]Slot{},
 		livenessReports: map[string]livenessReport{}, bootstrapSentAt: map[string]time.Duration{}, refreshedAt: now, lastDiskAt: now}
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -65,9 +65,9 @@
 
 // rules is the table of permissions. A node needs no contact for the following operations, which are not in the table: serving
 // requests with its present configuration (2xx), using its share of quotas among the reachable nodes, answering 200 to a change that
-// is in its own committed log, and streaming its log entries to a node that has no newer entries. The following operations do not depend on the age, because the
-// log itself obtains a majority for them: accepting, confirming and refusing (412) a change, reading, assigning a slot, and changing
-// the members.
+// is in its own committed log, and streaming its log entries to a node that has no newer entries. The following operations do not
+// depend on the age, because the log itself obtains a majority for them: accepting, confirming and refusing (412) a change, reading,
+// assigning a slot, and changing the members.
 var rules = [...]rule{
 	ServeClients:       {inContact, Bounds.ReadyMaxAge, Bounds.ReadyMaxAge, true},
 	RefuseRequests:     {inContact, Bounds.AuthoritativeMaxAge, Bounds.AuthoritativeMaxAge, true},
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -40,7 +40,7 @@
 type TestingKnobs struct {
 	GrantAll               bool // every permission is granted
 	CountFromReceipt       bool // the age of an upstream's report counts from its receipt
-	AcceptOlderTerms       bool // a report of an older term is accepted after one of a newer term
+	AcceptOlderTerms       bool // a report of an older term is accepted after a report of a newer term
 	AckDrainWithoutContact bool // drains and deregistrations of backends are acknowledged at any age
 	ServeWithoutContact    bool // clients are served and requests are refused at any age
 	QueueWithoutContact    bool // calls are accepted at any age, so a call is queued even if no node can process it
