--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/gateway/rollout"
 )
 
-// oddAssigner assigns requests with odd IDs to the canary.
+// oddAssigner assigns requests with odd IDs to the canary and records all samples.
 type oddAssigner struct{ samples []ComparisonSample }
 
 func (o *oddAssigner) Assign(id control.TxnID, _ control.ProductID, service control.ServiceID) Assignment {
@@ -21,6 +21,7 @@
 
 const firstCanaryBackend = 11 // backends with this ID or a higher one belong to the canary
 
+// newCanaryHarness returns a harness whose service 1 has service 2 as its canary, with CanaryShared.
 func newCanaryHarness(route Route, baselineBackends, canaryBackends int) (*harness, *oddAssigner) {
 	h, assigner := newHarness(route, baselineBackends), &oddAssigner{}
 	h.SetAssigner(assigner)
@@ -29,108 +30,112 @@
 	return h, assigner
 }
 
+// setCanaryBackends sets the state of the first n backends of the canary.
 func (h *harness) setCanaryBackends(state control.BackendState, n int) {
 	for i := range n {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstCanaryBackend + i), State: state, Capacity: 4, Service: 2}})
 	}
 }
 
-func (h *harness) sentToCanary(what string) bool {
+// lastSubmissionIsAtCanary reports whether the last decision submits a request to the canary. The test fails if the last decision submits no request.
+// what describes the submission in the message.
+func (h *harness) lastSubmissionIsAtCanary(what string) bool {
 	h.t.Helper()
 	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(what))
 	return h.lastDecision().Backend >= firstCanaryBackend
 }
 
-// Checks to which version submissions go. A first submission goes to the version to which its user is assigned. A retry goes to the baseline
-// version. If the baseline version has no backend, a retry of a request that began at the canary goes to the canary. A request never goes from the
-// baseline version to the canary. Only first submissions are reported to the assigner.
+// Guards against submissions to the wrong version. A first submission goes to the assigned version. A retry goes to the baseline version. If the
+// baseline version has no backend, the retry of a request that was assigned to the canary goes to the canary. A request never moves from the baseline
+// version to the canary. Only first submissions are reported to the assigner.
 func TestCanaryRequestsMayRetryAtBaselineButNotTheReverse(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 3)
 	h.t = t
-	h.arrive(1)
-	must.True(t, h.sentToCanary("first submission of a canary request"))
+	h.sendRequest(1)
+	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("retry of a canary request"))
+	must.False(t, h.lastSubmissionIsAtCanary("retry of a canary request"))
 	h.endLastSubmission(control.Succeeded, true)
-	h.arrive(2)
-	must.False(t, h.sentToCanary("first submission of a baseline request"))
+	h.sendRequest(2)
+	must.False(t, h.lastSubmissionIsAtCanary("first submission of a baseline request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.sentToCanary("retry of a baseline request"))
+	must.False(t, h.lastSubmissionIsAtCanary("retry of a baseline request"))
 	h.endLastSubmission(control.Succeeded, true)
 	must.SliceLen(t, 2, assigner.samples)
-	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend, Ending: control.Errored,
-		Took: 50 * time.Millisecond}, assigner.samples[0])
+	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend,
+		Ending: control.Errored, Took: 50 * time.Millisecond}, assigner.samples[0])
 	must.Eq(t, rollout.Baseline, assigner.samples[1].Side)
 
 	h.setBackends(control.Gone, 1, 3)
-	h.arrive(3)
-	must.True(t, h.sentToCanary("first submission of a canary request without baseline backends"))
+	h.sendRequest(3)
+	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request without baseline backends"))
 	h.endLastSubmission(control.Errored, false)
-	must.True(t, h.sentToCanary("retry of a canary request without baseline backends"))
+	must.True(t, h.lastSubmissionIsAtCanary("retry of a canary request without baseline backends"))
 	h.endLastSubmission(control.Succeeded, true)
-	h.arrive(4)
-	h.advance(h.now + time.Second)
+	h.sendRequest(4)
+	h.advanceTo(h.now + time.Second)
 	must.Eq(t, control.Reject, h.lastDecision().Action) // a baseline request is rejected if the baseline version has no backend
 
 	h.setBackends(control.Ready, 1, 1)
 	h.setCanaryBackends(control.Gone, 3)
 	samplesBefore := len(assigner.samples)
-	h.arrive(5)
-	must.False(t, h.sentToCanary("first submission of a canary request without canary backends"))
+	h.sendRequest(5)
+	must.False(t, h.lastSubmissionIsAtCanary("first submission of a canary request without canary backends"))
 	h.endLastSubmission(control.Errored, false)
 	must.SliceLen(t, samplesBefore, assigner.samples) // nothing is reported, since the canary had no backend
 	must.Eq(t, control.Fail, h.lastDecision().Action)
 }
 
-// Checks that a rollback moves the requests in the canary's queue to the baseline version. Submissions in flight end at the canary. If
-// such a submission did not run, its request is retried at the baseline version.
+// Guards against requests that remain at a canary after a rollback. A rollback moves the requests in the canary's queue to the baseline version.
+// Submissions in flight end at the canary. If a request did not run in such a submission, it is retried at the baseline version.
 func TestRollbackMovesCanaryRequestsToBaseline(t *testing.T) {
 	h, assigner := newCanaryHarness(effectfulRoute, 5, 1)
-	defer func() { must.SliceLen(t, 1, assigner.samples) }() // the submission that ended at the canary
+	defer func() { must.SliceLen(t, 1, assigner.samples) }() // only the submission that ended at the canary is a sample
 	h.t = t
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id += 2
 	}
 	must.Greater(t, 1, id)
 	h.SetRollout(1, 2, CanaryClosed)
 	h.takeDecisions()
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request from the canary's queue after a rollback"))
+	must.False(t, h.lastSubmissionIsAtCanary("request from the canary's queue after a rollback"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.SubmissionEnded(1, 0, firstCanaryBackend, control.Rejected, false, 50*time.Millisecond, nil) // the request has not run
 	h.takeDecisions()
 	must.Eq(t, 1, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request that the canary rejected after a rollback"))
-	h.arrive(101)
-	must.False(t, h.sentToCanary("new request after a rollback"))
+	must.False(t, h.lastSubmissionIsAtCanary("request that the canary rejected after a rollback"))
+	h.sendRequest(101)
+	must.False(t, h.lastSubmissionIsAtCanary("new request after a rollback"))
 	h.setBackends(control.Gone, 1, 5)
-	h.arrive(103)
-	h.advance(h.now + time.Second)
+	h.sendRequest(103)
+	h.advanceTo(h.now + time.Second)
 	must.Eq(t, control.Reject, h.lastDecision().Action) // the closed canary is not used, even if the baseline version has no backend
 	h.SetRollout(1, 2, CanaryFallback)
 	h.setCanaryBackends(control.Ready, 2)
-	h.arrive(105)
-	must.True(t, h.sentToCanary("new request with the canary as fallback"))
+	h.sendRequest(105)
+	must.True(t, h.lastSubmissionIsAtCanary("new request with the canary as fallback"))
 }
 
-// Checks that a request which waits in vain for a canary without capacity goes to the baseline version instead of being rejected.
+// Guards against the rejection of requests for lack of capacity at the canary. A request whose wait in the canary's queue ends must go to the baseline
+// version.
 func TestRequestMovesToBaselineWhenCanaryLacksCapacity(t *testing.T) {
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 1)
 	h.t = t
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id += 2
 	}
-	h.advance(h.now + 100*time.Millisecond)
+	h.advanceTo(h.now + 100*time.Millisecond)
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.sentToCanary("request that waited for the canary"))
+	must.False(t, h.lastSubmissionIsAtCanary("request that waited for the canary"))
 	h.endLastSubmission(control.Errored, false)
-	must.SliceEmpty(t, assigner.samples) // the request did not end at the version that it was assigned to
+	must.SliceEmpty(t, assigner.samples) // the request did not end at its assigned version
 }
 
-// Checks under random events that no request of the baseline version is sent to the canary, that a closed canary gets nothing, and that both
-// versions share one retry budget.
+// Guards against requests at the canary that may not go there. Under random events, no request that is assigned to the baseline version is sent to the
+// canary, a closed canary gets no requests, and both versions share one retry budget.
 func TestBaselineRequestsNeverReachCanary(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
@@ -150,7 +155,7 @@
 				h.setCanaryBackends(control.BackendState(rng.Intn(2)), 3)
 			case 3, 4:
 				id++
-				h.arrive(id)
+				h.sendRequest(id)
 			default:
 				for txnID, decision := range inFlight {
 					delete(inFlight, txnID)
@@ -159,13 +164,14 @@
 					break
 				}
 			}
-			h.advance(h.now + 10*time.Millisecond)
+			h.advanceTo(h.now + 10*time.Millisecond)
 			for _, decision := range h.decided {
 				if decision.Action != control.Submit {
 					continue
 				}
 				toCanary := decision.Backend >= firstCanaryBackend
-				must.False(t, toCanary && (decision.Txn%2 == 0 || access == CanaryClosed), must.Sprint(seed, " ", decision))
+				must.False(t, toCanary && (decision.Txn%2 == 0 || access == CanaryClosed),
+					must.Sprint(seed, " is the seed of the run with the decision ", decision))
 				sent[toCanary]++
 				inFlight[decision.Txn] = decision
 				submissions[decision.Txn]++
@@ -174,6 +180,6 @@
 		}
 		must.Positive(t, sent[true])
 		must.Positive(t, sent[false])
-		must.True(t, h.service(1).budget == h.service(2).budget)
+		must.True(t, h.getOrCreateService(1).budget == h.getOrCreateService(2).budget)
 	}
 }
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -10,47 +10,50 @@
 	"clovergap/control/quota"
 )
 
-// unlimited returns a quota without limits.
-func unlimited() *quota.Limiter {
+// newUnlimitedLimiter returns a limiter without limits.
+func newUnlimitedLimiter() *quota.Limiter {
 	return quota.NewLimiter(1, 0, 1, 0, quota.Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second,
 		DatagramsPerSecond: 100})
 }
 
-// harness is a controller whose host is played by the test.
+// harness is a controller together with a simulated host.
 type harness struct {
 	*Controller
-	t       *testing.T // set by tests that use sentToCanary
+	t       *testing.T // set by tests that use lastSubmissionIsAtCanary
 	now     time.Duration
-	decided []control.Decision // without wake-ups and log entries
+	decided []control.Decision // all decisions except wake-ups and log entries
 }
 
+// newHarness returns the result of newSeededHarness for seed 1.
 func newHarness(route Route, backends int) *harness { return newSeededHarness(1, route, backends) }
 
-// newSeededHarness returns a harness with a route 1 to service 1 and ready backends with the IDs from 1 on.
+// newSeededHarness returns a harness with a route, whose product ID is 1, to service 1. The service has ready backends with the IDs 1 to backends.
 func newSeededHarness(seed int64, route Route, backends int) *harness {
 	h := &harness{Controller: New(seed, Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 64, Nodes: 2},
-		unlimited(), 0)}
+		newUnlimitedLimiter(), 0)}
 	route.Targets = []Target{{1, 1}}
 	h.SetRoute(1, route)
 	h.setBackends(control.Ready, 1, backends)
-	h.advance(30 * time.Second) // the retry budget is filled
+	h.advanceTo(30 * time.Second) // until the retry budget is filled
 	return h
 }
 
+// setBackends sets the state of all backends whose ID is at least from and at most to.
 func (h *harness) setBackends(state control.BackendState, from, to int) {
 	for i := from; i <= to; i++ {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(i), State: state, Capacity: 4, Service: 1}})
 	}
 }
 
-// advance advances the time in steps of 10 ms, as a host does that wakes the controller.
-func (h *harness) advance(until time.Duration) {
+// advanceTo advances the time to until, in steps of 10 ms, and takes the decisions after each step.
+func (h *harness) advanceTo(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
 		h.takeDecisions()
 	}
 }
 
+// takeDecisions appends all decisions that are due to decided.
 func (h *harness) takeDecisions() {
 	h.Now(h.now)
 	for decision, ok := h.Next(); ok; decision, ok = h.Next() {
@@ -60,12 +63,13 @@
 	}
 }
 
-func (h *harness) arrive(id control.TxnID) {
+// sendRequest lets a request with product ID 1 arrive and takes the decisions.
+func (h *harness) sendRequest(id control.TxnID) {
 	h.TxnArrived(control.Txn{ID: id, Product: 1, Units: 1, Expiry: h.now + 10*time.Second})
 	h.takeDecisions()
 }
 
-// endLastSubmission ends the last submission.
+// endLastSubmission reports the end of the submission in the last decision and takes the decisions that follow.
 func (h *harness) endLastSubmission(ending control.Ending, answered bool) {
 	decision := h.lastDecision()
 	h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, ending, answered, 50*time.Millisecond, nil)
@@ -77,8 +81,8 @@
 var idempotentRoute = Route{LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 var effectfulRoute = Route{Effectful: true, LatencyTarget: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, MaxAttempts: 2}
 
-// Checks the table of consequences for each ending, and that the controller follows the table. Guards against an effectful request that is sent
-// again although it may have run. Guards also against a second answer to a client that has received a part of an answer.
+// Guards against an effectful request that is sent again although it may have run, and against a second answer to a client that has received a part
+// of an answer. Checks the table of consequences for each ending, and that the controller follows the table.
 func TestConsequenceOfEachEnding(t *testing.T) {
 	must.MapLen(t, 4*(int(control.NotSent)+1), consequences)
 	for key, want := range consequences {
@@ -88,14 +92,14 @@
 			must.Eq(t, noFurtherAnswer, want.answer)
 			must.False(t, want.retryable)
 		} else {
-			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject promises that the request has not run
+			must.Eq(t, provesNotRun, want.answer == answerReject) // Reject guarantees that the request has not run
 			must.Eq(t, provesNotRun || !key.effectful, want.retryable)
 		}
-		// The controller follows the table, with one attempt left and with none.
+		// The controller follows the table, both if one more attempt is allowed and if none is.
 		route := map[bool]Route{false: idempotentRoute, true: effectfulRoute}[key.effectful]
 		for route.MaxAttempts = 1; route.MaxAttempts <= 2; route.MaxAttempts++ {
 			h := newHarness(route, 3)
-			h.arrive(1)
+			h.sendRequest(1)
 			must.Eq(t, control.Submit, h.lastDecision().Action)
 			first := h.lastDecision().Backend
 			h.endLastSubmission(key.ending, key.answerStarted || key.ending == control.Succeeded)
@@ -118,7 +122,8 @@
 	}
 }
 
-// Checks that the retries of any window stay within the bound of the retry budget, whatever the load, and that a new budget is empty.
+// Guards against retries that multiply the load. The number of retries in any window must stay within the bound of the retry budget, whatever the
+// load is. A new budget must be empty.
 func TestRetryBudgetBoundsRetriesInEveryWindow(t *testing.T) {
 	const nodes, window = 4, 10 * time.Second
 	budgets := make([]retryBudget, nodes)
@@ -129,16 +134,16 @@
 	for now := time.Duration(0); now < 120*time.Second; now += 10 * time.Millisecond {
 		for i := range budgets {
 			budgets[i].advance(now, refillShare*64/nodes)
-			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts, and few requests between them
-				budgets[i].deposit(depositShare * 0.2)
+			if s := int(now.Seconds()); s%40 > 25 || now%(500*time.Millisecond) == 0 { // bursts of requests, and few requests between the bursts
+				budgets[i].depositTokens(depositShare * 0.2)
 				firstSubmissions[s]++
 			}
-			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdraw(); { // withdrawn at once after some time without retries
+			for s := int(now.Seconds()); (s%20 > 8) && budgets[i].withdrawToken(); { // all tokens are withdrawn after some time without retries
 				retries[s]++
 			}
 			if now == 66*time.Second {
 				budgets[i] = retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
-				must.False(t, budgets[i].withdraw())
+				must.False(t, budgets[i].withdrawToken())
 			}
 		}
 	}
@@ -154,11 +159,12 @@
 		must.LessEq(t, 0.2*requests+64, sum(retries, s))
 		allRetries += retries[s]
 	}
-	must.Greater(t, 100, allRetries) // the budget does allow retries
+	must.Greater(t, 100, allRetries) // the bound is not kept by allowing no retries
 }
 
-// Checks that the retry budget ends a storm of rejections, whatever the seed. The seed determines how many requests are sent before all backends
-// back off. Every submission counts, also those of requests that waited for a backend first.
+// Guards against retries that keep backends overloaded when all backends reject all requests. The number of retries must stay within the bound of the
+// retry budget, whatever the seed is. The seed determines how many requests are sent before no backend gets requests any more. Submissions of requests
+// that first waited for a backend count too.
 func TestRetryBudgetEndsStormOfRejections(t *testing.T) {
 	const seeds = 12
 	sentInAllRuns := 0
@@ -180,12 +186,12 @@
 			}
 		}
 		for id := control.TxnID(1); id <= 2000; id++ {
-			h.arrive(id)
+			h.sendRequest(id)
 			rejectSubmissions()
-			h.advance(h.now + 2*time.Millisecond)
+			h.advanceTo(h.now + 2*time.Millisecond)
 			rejectSubmissions()
 		}
-		h.advance(h.now + time.Second)
+		h.advanceTo(h.now + time.Second)
 		must.LessEq(t, 0.1*float64(len(sentTxns))+2*refillShare*64/2, float64(retries))
 		must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 		sentInAllRuns += len(sentTxns)
@@ -193,22 +199,24 @@
 	must.Greater(t, 50*seeds, sentInAllRuns)
 }
 
-// Checks that a request in flight fails at its deadline, is canceled at its backend, and is kept until its submission has ended.
+// Guards against a request that is not answered by its deadline. A request in flight fails at its deadline and is canceled at its backend. The
+// controller keeps the request until the submission has ended.
 func TestRequestFailsAtDeadlineAndIsCanceled(t *testing.T) {
 	h := newHarness(effectfulRoute, 1)
 	start := h.now
-	h.arrive(1)
+	h.sendRequest(1)
 	must.Eq(t, 1500*time.Millisecond-deadlineMargin, h.lastDecision().After)
-	h.advance(start + 1490*time.Millisecond)
+	h.advanceTo(start + 1490*time.Millisecond)
 	must.Len(t, 1, h.decided)
-	h.advance(start + 1500*time.Millisecond)
+	h.advanceTo(start + 1500*time.Millisecond)
 	must.Eq(t, []control.Action{control.Submit, control.Fail, control.Cancel}, h.decidedActions())
 	must.Eq(t, control.ReasonNoTime, h.decided[1].Reason)
-	must.MapLen(t, 1, h.txns) // the submission's end has not been reported yet
+	must.MapLen(t, 1, h.txns) // the end of the submission has not been reported yet
 	h.SubmissionEnded(1, 0, 1, control.Canceled, true, 1500*time.Millisecond, nil)
 	must.MapEmpty(t, h.txns)
 }
 
+// decidedActions returns the actions of all decisions, in order.
 func (h *harness) decidedActions() (all []control.Action) {
 	for _, decision := range h.decided {
 		all = append(all, decision.Action)
@@ -216,7 +224,7 @@
 	return all
 }
 
-// Checks that requests which expired during a process pause are not sent.
+// Guards against sending requests that expired during a pause of the process.
 func TestExpiredRequestsAreNotSentAfterProcessPause(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	h.TxnArrived(control.Txn{ID: 1, Product: 1, Expiry: h.now + 1500*time.Millisecond})
@@ -229,31 +237,31 @@
 	must.Eq(t, h.now, h.pausedUntil)
 }
 
-// Checks that requests wait in order of priority and for a bounded time while all backends are saturated. A draining backend gets no new requests,
-// and its requests in flight go on.
+// Guards against a queue that is not ordered by priority, and against requests that wait without a bound while all backends are saturated. A draining
+// backend gets no new requests, and its requests in flight continue.
 func TestQueueIsOrderedByPriorityAndBoundedInTime(t *testing.T) {
 	h := newHarness(idempotentRoute, 1)
 	lowPriorityRoute := idempotentRoute
 	lowPriorityRoute.Priority, lowPriorityRoute.Targets = 5, []Target{{1, 1}}
 	h.SetRoute(2, lowPriorityRoute)
 	id := control.TxnID(1)
-	for h.arrive(id); h.lastDecision().Txn == id; h.arrive(id) {
+	for h.sendRequest(id); h.lastDecision().Txn == id; h.sendRequest(id) {
 		id++
 	}
 	h.TxnArrived(control.Txn{ID: 100, Product: 2, Expiry: h.now + time.Minute})
-	h.arrive(101)
+	h.sendRequest(101)
 	h.decided = h.decided[:1]
-	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more
+	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more requests
 	h.takeDecisions()
 	for i, want := range []control.TxnID{1, id, 101, 100} {
 		must.Eq(t, want, h.decided[i].Txn)
 	}
 	h.setBackends(control.Draining, 1, 1)
-	h.arrive(200)
+	h.sendRequest(200)
 	start := h.now
-	h.advance(start + 60*time.Millisecond)
+	h.advanceTo(start + 60*time.Millisecond)
 	must.Eq(t, 100, h.lastDecision().Txn)
-	h.advance(start + 100*time.Millisecond)
+	h.advanceTo(start + 100*time.Millisecond)
 	must.Eq(t, control.Reject, h.lastDecision().Action)
 	must.Eq(t, 200, h.lastDecision().Txn)
 	must.Greater(t, 0, h.lastDecision().After)
@@ -261,11 +269,12 @@
 	must.MapLen(t, h.services[0].balancer.InFlightCount(), h.txns)
 }
 
-// Checks that a request beyond its quota is rejected at once, with the time after which units are available.
+// Guards against a request beyond its quota that waits or is rejected without a useful Retry-After time. The request must be rejected at once, with the
+// time after which units are available.
 func TestRequestBeyondQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	h := newHarness(idempotentRoute, 3)
 	h.limiter.(*quota.Limiter).SetLimit(7, 1, 2)
-	h.advance(h.now + 5*time.Second)
+	h.advanceTo(h.now + 5*time.Second)
 	for id := control.TxnID(1); id <= 3; id++ {
 		h.TxnArrived(control.Txn{ID: id, Product: 1, Customer: 7, Units: 1, Expiry: h.now + time.Minute})
 		h.takeDecisions()
@@ -275,13 +284,13 @@
 	must.Between(t, 500*time.Millisecond, h.lastDecision().After, 1001*time.Millisecond)
 }
 
-// Checks that idempotent requests are canceled at a backend that does not respond while another one does.
+// Guards against idempotent requests that stay at a backend that does not respond. They must be canceled there while another backend responds.
 func TestIdempotentRequestIsCanceledAtDeadBackend(t *testing.T) {
 	h := newHarness(idempotentRoute, 2)
 	for id := control.TxnID(1); id <= 60; id++ { // backend 1 does not respond
-		h.arrive(id)
+		h.sendRequest(id)
 		if h.lastDecision().Action == control.Submit && h.lastDecision().Txn == id && h.lastDecision().Backend == 2 {
-			h.advance(h.now + 20*time.Millisecond)
+			h.advanceTo(h.now + 20*time.Millisecond)
 			h.SubmissionEnded(id, 0, 2, control.Succeeded, true, 20*time.Millisecond, nil)
 		}
 	}
@@ -296,24 +305,25 @@
 
 var _ Limiter = (*quota.Limiter)(nil)
 
-// Request IDs are reused. Checks that a timer of an earlier request does nothing to a later request with the same ID.
+// Guards against a timer of an earlier request that ends a later request with the same ID. Request IDs are reused.
 func TestTimerOfEarlierRequestWithSameIDHasNoEffect(t *testing.T) {
 	h := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
-	h.arrive(7) // it expires in 10 s
+	h.sendRequest(7) // expires in 10 s
 	h.takeDecisions()
 	h.SubmissionEnded(7, 0, 1, control.Succeeded, true, time.Millisecond, nil)
-	h.advance(h.now + 9*time.Second)
-	h.arrive(7)
+	h.advanceTo(h.now + 9*time.Second)
+	h.sendRequest(7)
 	h.takeDecisions()
 	h.decided = nil
-	h.advance(h.now + 5*time.Second)
+	h.advanceTo(h.now + 5*time.Second)
 	must.SliceEmpty(t, h.decided)
-	h.advance(h.now + 6*time.Second)
+	h.advanceTo(h.now + 6*time.Second)
 	must.Eq(t, control.Fail, h.decided[0].Action)
 }
 
-// Checks that each target gets the share of its weight within few requests, over all nodes together, even if configurations change. A target without
-// backends leaves its share to the others. Guards against a random choice, which is off by 0.05 or more in one of twelve runs of 300 requests.
+// Guards against a random choice of targets, which differs from the weights by 0.05 or more in one of twelve runs of 300 requests. Over all nodes
+// together, each target must get the share of its weight within few requests, even if configurations change. A target without backends gets no
+// requests, and the other targets get its share.
 func TestTargetsGetTheirShareOfWeights(t *testing.T) {
 	const nodes, requestsPerNode = 12, 25
 	for _, weights := range [][]int{{50, 50}, {90, 10}, {1, 2, 3}, {97, 3}} {
@@ -322,7 +332,7 @@
 			weightSum += w
 		}
 		for n := range nodes {
-			controller := New(int64(n), Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, Nodes: nodes}, unlimited(), 0)
+			controller := New(int64(n), Config{RetryRatio: 0.2, RetryWindow: 10 * time.Second, Nodes: nodes}, newUnlimitedLimiter(), 0)
 			route := Route{Deadline: time.Second}
 			for i, w := range weights {
 				id := control.ServiceID(i + 1)
@@ -341,7 +351,7 @@
 			must.Between(t, float64(w)/float64(weightSum)-0.02, share, float64(w)/float64(weightSum)+0.02, must.Sprint(weights, requests))
 		}
 	}
-	controller := New(1, Config{Nodes: 1}, unlimited(), 0)
+	controller := New(1, Config{Nodes: 1}, newUnlimitedLimiter(), 0)
 	controller.SetRoute(1, Route{Targets: []Target{{1, 50}, {2, 50}}})
 	controller.EndpointsChanged(false, []control.Endpoint{{ID: 2, State: control.Ready, Capacity: 4, Service: 2}})
 	for range 20 {
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -10,30 +10,34 @@
 	"clovergap/control"
 )
 
-// fixture is a balancer with backends 1 to 6, of which 1 to 3 are in its zone, and the response times and endings of the backends.
+// fixture is a balancer together with simulated backends. The fixture that newFixture returns has backends 1 to 6, of which 1 to 3
+// are in the balancer's zone.
 type fixture struct {
 	*Balancer
 	now           time.Duration
-	chosen        map[control.BackendID]int
-	responseTimes map[control.BackendID]time.Duration // 100 ms if not set
-	endings       map[control.BackendID]control.Ending
+	chosen        map[control.BackendID]int            // requests sent by the last sendRequests, by backend
+	responseTimes map[control.BackendID]time.Duration  // 100 ms if not set
+	endings       map[control.BackendID]control.Ending // Succeeded if not set
 }
 
+// newFixture returns a fixture with backends 1 to 6. seed is the seed of the random numbers.
 func newFixture(seed int64) *fixture {
 	f := &fixture{Balancer: New(rand.New(rand.NewSource(seed)), 0, 3), now: time.Second,
 		chosen: map[control.BackendID]int{}, responseTimes: map[control.BackendID]time.Duration{},
 		endings: map[control.BackendID]control.Ending{}}
 	for i := range 6 {
-		f.SetEndpoint(0, f.endpoint(control.BackendID(i+1), control.Ready))
+		f.SetEndpoint(0, f.testEndpoint(control.BackendID(i+1), control.Ready))
 	}
 	return f
 }
 
-func (f *fixture) endpoint(id control.BackendID, state control.BackendState) control.Endpoint {
+// testEndpoint returns the entry of one of the backends 1 to 6 in the backend list.
+func (f *fixture) testEndpoint(id control.BackendID, state control.BackendState) control.Endpoint {
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
-// sendRequests sends n requests, one every 20 ms. Each ends before the next one is sent, so the numbers in flight do not influence the choice.
+// sendRequests sends n requests, one every 20 ms. Each request ends before the next is sent, so the number of requests in flight does not influence
+// the choice.
 func (f *fixture) sendRequests(n int, request Request) {
 	clear(f.chosen)
 	for range n {
@@ -52,39 +56,40 @@
 	}
 }
 
-func (f *fixture) requestsToOtherZone() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
+// otherZoneRequestCount returns the number of requests that the last sendRequests sent to the other zone.
+func (f *fixture) otherZoneRequestCount() int { return f.chosen[4] + f.chosen[5] + f.chosen[6] }
 
-// Checks when requests go to another zone: only if the backends of this zone are late, reject all requests or fail.
+// Guards against needless traffic between zones, and against requests that stay in a zone whose backends are late, reject all requests or fail.
 func TestRequestsLeaveZoneOnlyIfItIsLateOrFailing(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(300, Request{})
-	must.Zero(t, f.requestsToOtherZone())
-	// Somewhat slower responses in this zone are no reason to leave it, but late ones are.
+	must.Zero(t, f.otherZoneRequestCount())
+	// Requests stay in this zone if its responses are somewhat slower. They leave it if its responses are late.
 	for i := range 3 {
 		f.responseTimes[control.BackendID(i+1)] = 200 * time.Millisecond
 	}
 	f.sendRequests(300, Request{})
-	must.Zero(t, f.requestsToOtherZone())
+	must.Zero(t, f.otherZoneRequestCount())
 	for i := range 3 {
 		f.responseTimes[control.BackendID(i+1)] = 500 * time.Millisecond
 	}
 	f.sendRequests(300, Request{})
-	must.Greater(t, 50, f.requestsToOtherZone())
+	must.Greater(t, 50, f.otherZoneRequestCount())
 	// If all backends of a zone reject requests or fail, requests go to other zones as well. Requests return once the zone has recovered.
 	for _, ending := range []control.Ending{control.Rejected, control.Unreachable} {
 		f = newFixture(1)
 		f.endings[1], f.endings[2], f.endings[3] = ending, ending, ending
 		f.sendRequests(300, Request{})
-		must.Greater(t, 200, f.requestsToOtherZone())
+		must.Greater(t, 200, f.otherZoneRequestCount())
 		clear(f.endings)
 		f.sendRequests(600, Request{})
 		f.sendRequests(100, Request{})
-		must.Less(t, 10, f.requestsToOtherZone())
+		must.Less(t, 10, f.otherZoneRequestCount())
 	}
 }
 
-// Checks that a backend's share of the requests grows with a power of its speed, so that the responses of slow backends are not late. Checks also
-// that nodes with the same observations do not all choose the same backend.
+// Guards against late responses of slow backends and against nodes with the same observations that all choose the same backend. A backend's share of
+// the requests must grow with a power of its speed.
 func TestSharesFollowPowerOfSpeed(t *testing.T) {
 	firstChosen := map[control.BackendID]int{}
 	for seed := range int64(12) {
@@ -100,12 +105,13 @@
 	must.MapLen(t, 3, firstChosen)
 }
 
-// Checks that a failing backend gets few requests, and fewer effectful ones, until it has recovered, and that no backend is left out if all fail.
+// Guards against requests that fail at a failing backend. Until it has recovered, the backend gets few idempotent requests and even fewer effectful
+// requests. If all backends fail, all must still get requests.
 func TestFailingBackendIsEjectedUnlessAllFail(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(60, Request{})
 	f.endings[2] = control.ConnectionLost
-	f.sendRequests(300, Request{}) // six seconds
+	f.sendRequests(300, Request{}) // takes 6 s
 	must.Between(t, 2, f.chosen[2], 15)
 	f.sendRequests(300, Request{Effectful: true})
 	must.Less(t, 3, f.chosen[2])
@@ -113,7 +119,7 @@
 	f.sendRequests(600, Request{})
 	f.sendRequests(300, Request{})
 	must.Greater(t, 60, f.chosen[2])
-	// If all backends fail alike, all are still used.
+	// If all backends fail equally often, all backends still get requests.
 	for i := range 6 {
 		f.endings[control.BackendID(i+1)] = control.Errored
 	}
@@ -124,13 +130,14 @@
 	}
 }
 
-// Checks that a backend that is warming up gets a reduced share, which grows to its full size, and that a draining backend gets no requests.
+// Guards against too many requests at a backend that is warming up, and against requests at a draining backend. A backend that is warming up gets a
+// reduced share, which grows to its full size.
 func TestWarmingUpBackendGetsReducedShareAndDrainingNone(t *testing.T) {
 	f := newFixture(1)
-	warmingUp := f.endpoint(7, control.Ready)
+	warmingUp := f.testEndpoint(7, control.Ready)
 	warmingUp.Zone, warmingUp.WarmingUntil = 0, f.now+6*time.Second
 	f.SetEndpoint(f.now, warmingUp)
-	f.SetEndpoint(f.now, f.endpoint(1, control.Draining))
+	f.SetEndpoint(f.now, f.testEndpoint(1, control.Draining))
 	f.sendRequests(300, Request{})
 	must.Between(t, 10, f.chosen[7], 50)
 	must.Zero(t, f.chosen[1])
@@ -139,7 +146,8 @@
 	must.Greater(t, 85, f.chosen[7])
 }
 
-// Checks that a backend with unanswered requests gets few requests, and is dead once other backends have responded.
+// Guards against requests that wait for a backend that does not respond. A backend with unanswered requests gets no further requests, and is dead
+// once other backends have responded.
 func TestUnresponsiveBackendIsAvoidedAndDeclaredDead(t *testing.T) {
 	f := newFixture(1)
 	f.sendRequests(100, Request{})
@@ -149,19 +157,19 @@
 	f.now += 250 * time.Millisecond
 	must.False(t, f.IsDead(f.now, 1))
 	f.now += 200 * time.Millisecond
-	must.False(t, f.IsDead(f.now, 1)) // no other backend has been asked since
+	must.False(t, f.IsDead(f.now, 1)) // no other backend has responded since
 	f.sendRequests(5, Request{Attempted: []control.BackendID{1}})
 	must.True(t, f.IsDead(f.now, 1))
 	for range 10 {
 		id, _ := f.Pick(f.now, Request{})
 		must.NotEq(t, 1, id)
 	}
-	f.RecordResume(f.now) // the process was paused, so the backend is not at fault
+	f.RecordResume(f.now) // after a pause of this process, missing responses do not count against the backend
 	must.False(t, f.IsDead(f.now, 1))
 }
 
-// Guards against a node of a large fleet that sends to each backend too rarely. Such a node learnt nothing of the backends and opened a new
-// connection for two of three requests. The subsets of the nodes are evenly distributed over the backends, without messages between nodes. Most
+// Guards against a node of a large deployment that sends to each backend too rarely. Such a node did not know the speed of the backends and opened a
+// new connection for two of three requests. The subsets of the nodes are evenly distributed over the backends, without messages between nodes. Most
 // requests go to the subset. Requests for which the subset has no capacity go to the other backends. If all backends of the subset are gone, all
 // requests go to the other backends.
 func TestSubsetsAreEvenAndFallBackToOtherBackends(t *testing.T) {
@@ -174,7 +182,7 @@
 			balancer.SetEndpoint(0, control.Endpoint{ID: control.BackendID(i + 1), Capacity: 4, State: control.Ready})
 		}
 		f := &fixture{Balancer: balancer, now: time.Second, chosen: map[control.BackendID]int{}}
-		f.sendRequests(300, Request{}) // establishes the request rate
+		f.sendRequests(300, Request{}) // the balancer measures the request rate
 		inSubset := map[control.BackendID]bool{}
 		for _, b := range balancer.ordered {
 			if inSubset[b.ID] = !b.outsideSubset; !b.outsideSubset {
@@ -190,7 +198,7 @@
 		}
 		must.Between(t, 330, toSubset, 399)
 		var sentTo []control.BackendID
-		for range 24 { // none of them ends meanwhile
+		for range 24 { // none of these requests ends meanwhile
 			id, result := f.Pick(f.now, Request{})
 			must.Eq(t, Chosen, result)
 			f.RecordSent(f.now, id, Request{})
@@ -218,7 +226,7 @@
 }
 
 // Guards against a subset that is too large for the request rate. With a subset of twelve backends and three requests per second, nearly each of
-// the first requests opened a connection. A node of a very large fleet with few requests has a small subset, so that the node sends to each backend
+// the first requests opened a connection. A node of a very large deployment with few requests has a small subset, so that the node sends to each backend
 // of the subset before the idle connection is closed. The subset grows as soon as the request rate grows. At each request rate every backend is in
 // the subsets of about the same number of nodes. The backends outside a small subset get a few requests.
 func TestSubsetSizeFollowsRequestRate(t *testing.T) {
@@ -240,7 +248,7 @@
 			return n
 		}
 		must.Eq(t, minSubset, subsetSize())
-		sendEvery := func(n int, gap time.Duration) (toSubset int) {
+		sendWithInterval := func(n int, gap time.Duration) (toSubset int) {
 			f.sendRequests(0, Request{})
 			for range n {
 				f.now += gap - 20*time.Millisecond
@@ -257,11 +265,11 @@
 			}
 			return toSubset
 		}
-		sendEvery(60, 300*time.Millisecond)
+		sendWithInterval(60, 300*time.Millisecond)
 		must.Between(t, 6, subsetSize(), 8)
-		toSubset := sendEvery(200, 300*time.Millisecond)
+		toSubset := sendWithInterval(200, 300*time.Millisecond)
 		must.Between(t, 180, toSubset, 199)
-		must.Greater(t, 12, len(f.chosen)) // of 42, in a minute
+		must.Greater(t, 12, len(f.chosen)) // of 42 backends, in one minute
 		for _, b := range balancer.ordered {
 			if !b.outsideSubset {
 				nodesOf[b.ID]++
@@ -269,10 +277,10 @@
 		}
 		first := balancer.zoneIndex * backends / nodes
 		must.False(t, balancer.ordered[first].outsideSubset)
-		sendEvery(60, 50*time.Millisecond)
+		sendWithInterval(60, 50*time.Millisecond)
 		must.Eq(t, maxSubsetByRate, subsetSize())
 		must.False(t, balancer.ordered[first].outsideSubset)
-		sendEvery(30, 2*time.Second)
+		sendWithInterval(30, 2*time.Second)
 		must.Eq(t, minSubset, subsetSize())
 		must.False(t, balancer.ordered[first].outsideSubset)
 	}
@@ -282,8 +290,8 @@
 	must.MapLen(t, backends, nodesOf)
 }
 
-// Guards against a balancer that draws no conclusion from canceled requests. An unresponsive backend is ejected although all its clients leave before
-// the deadline. A backend whose clients leave soon is not ejected.
+// Guards against a balancer that ignores canceled requests. If all clients leave an unresponsive backend before the deadline, no request times out, and
+// the backend must still be ejected. A backend whose clients leave within its usual response time must not be ejected.
 func TestUnresponsiveBackendIsEjectedWhenClientsLeaveFirst(t *testing.T) {
 	for _, leavesAfter := range []time.Duration{150 * time.Millisecond, 500 * time.Millisecond} {
 		f := newFixture(1)
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -6,9 +6,9 @@
 	"clovergap/control"
 )
 
-// unresponsive reports whether a backend has left requests unanswered for much longer than such requests usually take. Once per trialInterval it
-// returns false for an idempotent request nevertheless, so that this request probes the backend.
-func (b *Balancer) unresponsive(now time.Duration, backend *backendState, r Request) bool {
+// isUnresponsive reports whether a backend has left requests unanswered for much longer than such requests usually take. If no request was sent to
+// the backend for trialInterval, isUnresponsive returns false for an idempotent request, so that this request probes the backend.
+func (b *Balancer) isUnresponsive(now time.Duration, backend *backendState, r Request) bool {
 	if backend.unanswered == 0 {
 		return false
 	}
@@ -16,26 +16,26 @@
 	if backend.unanswered == 1 {
 		factor = singleUnresponsiveFactor
 	}
-	if now-backend.unansweredSince <= max(minUnresponsiveTime, backend.expectedTime(factor)) {
+	if now-backend.unansweredSince <= max(minUnresponsiveTime, backend.expectedResponseTime(factor)) {
 		return false
 	}
 	return r.Effectful || now-backend.sentAt < trialInterval
 }
 
-// unresponsiveTime returns the time after which a backend with several unanswered requests is unresponsive.
-func (b *backendState) unresponsiveTime() time.Duration {
-	return max(minUnresponsiveTime, b.expectedTime(unresponsiveFactor))
+// unresponsiveTimeout returns the time after which a backend with several unanswered requests is unresponsive.
+func (b *backendState) unresponsiveTimeout() time.Duration {
+	return max(minUnresponsiveTime, b.expectedResponseTime(unresponsiveFactor))
 }
 
-// expectedTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
-// maxSlowdown counts as maxSlowdown. expectedLatency is the largest typical latency of the kinds of requests that were sent to the backend since
-// it last had no unanswered request.
-func (b *backendState) expectedTime(factor float64) time.Duration {
+// expectedResponseTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
+// maxSlowdown counts as maxSlowdown.
+func (b *backendState) expectedResponseTime(factor float64) time.Duration {
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
-// IsDead reports whether a request in flight at a backend is not worth waiting for. The backend must have left at least deadUnanswered requests
-// unanswered for long, and other backends must have responded meanwhile. For a backend that is suspect or gone, one such request suffices.
+// IsDead reports whether a backend is dead, so that its requests in flight should be sent to another backend. A dead backend has left at least
+// deadUnanswered requests unanswered for long, and other backends have responded meanwhile. For a backend that is suspect or gone, one unanswered
+// request suffices.
 func (b *Balancer) IsDead(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
 	if backend == nil || backend.unanswered == 0 {
@@ -44,9 +44,9 @@
 	if backend.unanswered < deadUnanswered && backend.State != control.Gone && !backend.suspect {
 		return false
 	}
-	if backend.unanswered >= deadUnanswered && now-backend.secondUnansweredAt <= backend.expectedTime(deadSecondFactor) {
+	if backend.unanswered >= deadUnanswered && now-backend.secondUnansweredAt <= backend.expectedResponseTime(deadSecondFactor) {
 		return false
 	}
-	timeout := backend.unresponsiveTime()
+	timeout := backend.unresponsiveTimeout()
 	return now-backend.unansweredSince > timeout && b.lastResponseAt > backend.unansweredSince+timeout/2
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -9,19 +9,19 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Machine holds the state. It is not safe for concurrent use.
+// Machine is the state machine of the configuration log, see the package comment. It is not safe for concurrent use.
 type Machine struct {
 	Configs  *routing.Register
 	Rollouts *rollout.State
 	slots    []membership.SlotHolder // indexed by slot
-	founders []membership.Founder    // of the coordination groups
+	founders []membership.Founder    // disks with which the coordination groups were bootstrapped
 }
 
-// New returns the state before the first entry.
+// New returns a machine in the state before the first entry.
 func New() *Machine { return &Machine{Configs: routing.NewRegister(), Rollouts: rollout.NewState()} }
 
-// configKind returns the routing.Kind of a kind that routing.Register implements, and false for all other kinds.
-func configKind(kind Kind) (routing.Kind, bool) {
+// routingKind returns the routing.Kind for a kind that routing.Register implements, and false for all other kinds.
+func routingKind(kind Kind) (routing.Kind, bool) {
 	switch kind {
 	case KindReplaceConfig:
 		return routing.Replace, true
@@ -31,33 +31,34 @@
 	return 0, false
 }
 
-// Decide returns the result that Apply would return now. It accepts every entry of a kind that only Apply decides.
+// Decide returns the result that Apply would return now for an entry that concerns a configuration or a roll-out. For all other kinds
+// it returns Accepted, because only Apply validates such entries.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
-		return withRolloutEntry(body, m.Rollouts.Decide)
+		return handleRolloutEntry(body, m.Rollouts.Decide)
 	}
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Decide(config, body)
 	}
 	return routing.Accepted, nil
 }
 
-// DecideFinal returns the same as Decide, and also reports whether the result is the same in every later state. If it is, a node
-// may answer with it even though its own state is stale.
+// DecideFinal returns a result and reports whether the result would be the same in every later state. If it would be, a node may
+// answer with the result even though the node's own state is stale. Otherwise the result may differ from the result of Decide.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Final(config, body)
 	}
 	if kind != KindRollout {
 		return routing.Accepted, nil, false
 	}
-	result, err = withRolloutEntry(body, m.decideRolloutFinal)
+	result, err = handleRolloutEntry(body, m.finalRolloutResult)
 	return result, err, result != routing.Accepted
 }
 
-// decideRolloutFinal returns the result for an entry of a roll-out if no later entry can change that result, and otherwise
+// finalRolloutResult returns the result for an entry of a roll-out if no later entry can change that result. Otherwise it returns
 // Accepted.
-func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
+func (m *Machine) finalRolloutResult(e *rollout.Entry) (routing.Result, error) {
 	if m.Rollouts.CallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
@@ -67,8 +68,9 @@
 	return routing.Accepted, nil
 }
 
-// withRolloutEntry decodes an entry of a roll-out and passes it to handle. It returns Invalid if the entry cannot be decoded.
-func withRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
+// handleRolloutEntry decodes an entry of a roll-out and returns the result of handle for it. It returns Invalid if the entry cannot be
+// decoded.
+func handleRolloutEntry(body []byte, handle func(*rollout.Entry) (routing.Result, error)) (routing.Result, error) {
 	e, err := rollout.DecodeEntry(body)
 	if err != nil {
 		return routing.Invalid, err
@@ -76,18 +78,18 @@
 	return handle(e)
 }
 
-// Apply applies an entry to the state. An entry that cannot be decoded or has an unknown kind changes nothing.
+// Apply applies an entry to the state and returns the result. An entry that cannot be decoded or has an unknown kind changes nothing.
 func (m *Machine) Apply(entry []byte) (routing.Result, error) {
 	if len(entry) == 0 {
 		return routing.Invalid, ErrEmptyEntry
 	}
 	kind, body := Kind(entry[0]), entry[1:]
-	if config, ok := configKind(kind); ok {
+	if config, ok := routingKind(kind); ok {
 		return m.Configs.Apply(config, body)
 	}
 	switch kind {
 	case KindRollout:
-		return withRolloutEntry(body, m.Rollouts.Apply)
+		return handleRolloutEntry(body, m.Rollouts.Apply)
 	case KindBootstrapGroups:
 		return m.bootstrapGroups(body)
 	case KindAssignSlot:
@@ -96,17 +98,17 @@
 	return routing.Invalid, &UnknownKindError{kind}
 }
 
-// Snapshot encodes the complete state.
+// Snapshot returns the encoding of the complete state.
 func (m *Machine) Snapshot() []byte {
 	return logentry.Encode(storedState{
 		Bills:    m.Configs.Snapshot(),
-		Seats:    storeSlots(m.slots),
+		Seats:    toStoredSlots(m.slots),
 		Rollouts: m.Rollouts.Snapshot(),
-		Founders: storeFounders(m.founders),
+		Founders: toStoredFounders(m.founders),
 	})
 }
 
-// Restore returns the state that a snapshot encodes.
+// Restore returns a machine with the state that a snapshot encodes.
 func Restore(snapshot []byte) (*Machine, error) {
 	var stored storedState
 	if err := logentry.Decode(snapshot, &stored, "read snapshot"); err != nil {
@@ -120,5 +122,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "restore roll-outs")
 	}
-	return &Machine{Configs: configs, Rollouts: rollouts, slots: slotsOf(stored.Seats), founders: foundersOf(stored.Founders)}, nil
+	return &Machine{Configs: configs, Rollouts: rollouts, slots: fromStoredSlots(stored.Seats), founders: fromStoredFounders(stored.Founders)}, nil
 }
