--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -38,7 +38,7 @@
 	s.callers.Audit()
 	s.runUntil(duration + 35*time.Second)
 	violations = callhistory.Check(s.history, callhistory.Config{HistoryRetention: testHistoryRetention})
-	for _, m := range s.callers.Unanswered() {
+	for _, m := range s.callers.UnansweredAuditCalls() {
 		violations = append(violations, callhistory.Violation{Rule: callhistory.RuleLost, Text: m})
 	}
 	return violations
@@ -50,7 +50,7 @@
 		return
 	}
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	id := groups.GroupOf(callers.Names()[s.rng.IntN(len(callers.Names()))])
+	id := groups.GroupOf(callers.SharedNames()[s.rng.IntN(len(callers.SharedNames()))])
 	if s.rng.IntN(2) == 0 {
 		n = s.logs[id].leader
 	}
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -247,9 +247,9 @@
 		must.SliceLen(t, 2, run.History)
 		must.Eq(t, "start 1 5000 ana 1796229222189", historyEntryText(run.History[0]))
 		must.Eq(t, "step 1 9000  1796229222438", historyEntryText(run.History[1]))
-		must.True(t, machine.Rollouts.CallApplied("m-1"))
-		must.True(t, machine.Rollouts.CallApplied("m-2"))
-		must.False(t, machine.Rollouts.CallApplied("m-3"))
+		must.True(t, machine.Rollouts.IsCallApplied("m-1"))
+		must.True(t, machine.Rollouts.IsCallApplied("m-2"))
+		must.False(t, machine.Rollouts.IsCallApplied("m-3"))
 	}
 }
 
--- a/internal/gateway/node/rollout_admission.go
+++ b/internal/gateway/node/rollout_admission.go
@@ -65,11 +65,11 @@
 // admissionOf is what admission is to go by in a roll-out.
 func (r *rolloutHost) admissionOf(run *rollout.Run) admissionState {
 	finished := run.Phase == rollout.Finished
-	state := admissionState{run.Number, run.Phase, admission.CanaryShared, finished && r.local.EverConnected()}
+	state := admissionState{run.Number, run.Phase, admission.CanaryShared, finished && r.local.WasEverConnected()}
 	switch {
 	case finished:
 		state.open = admission.CanaryFallback
-	case r.local.CanaryExcluded(run.Spec.Service):
+	case r.local.IsCanaryExcluded(run.Spec.Service):
 		state.open = admission.CanaryClosed
 	}
 	return state
--- a/internal/gateway/node/rollout_calls.go
+++ b/internal/gateway/node/rollout_calls.go
@@ -81,7 +81,7 @@
 	}
 	number := n.machine.Rollouts.LastNumber + 1
 	return controlapi.RolloutAnswer{Service: e.Service, Number: uint64(number), Phase: "dry", Rev: e.Revision, Steps: len(e.Spec.Steps),
-		Users: ptr(len(users)), Moved: e.Spec.CountMoved(number, users), Room: capacityAnswer(e.Capacity)}
+		Users: ptr(len(users)), Moved: e.Spec.CountCanaryUsers(number, users), Room: capacityAnswer(e.Capacity)}
 }
 
 // marshalAnswer is an answer in JSON.
@@ -105,7 +105,7 @@
 		return answer
 	}
 	return marshalAnswer(controlapi.RolloutAnswer{Service: e.Service, Number: uint64(run.Number), Rev: run.Revision, Phase: string(run.Phase),
-		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.Share(), Room: capacityAnswer(run.Capacity)})
+		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.CanaryShare(), Room: capacityAnswer(run.Capacity)})
 }
 
 func capacityAnswer(c rollout.Capacity) *controlapi.RolloutRoom {
@@ -137,8 +137,8 @@
 func (r *rolloutHost) statusOf(run *rollout.Run) controlapi.RolloutRun {
 	service := run.Spec.Service
 	status := controlapi.RolloutRun{Service: service, Number: uint64(run.Number), Rev: run.Revision, Phase: string(run.Phase),
-		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.Share(), Old: run.Spec.Old, New: run.Spec.New, Held: run.Paused,
-		Here: r.local.Share(service)}
+		Step: run.Step, Steps: len(run.Spec.Steps), Share: run.CanaryShare(), Old: run.Spec.Old, New: run.Spec.New, Held: run.Paused,
+		Here: r.local.CanaryShare(service)}
 	if r.coordinator != nil && run.Phase == rollout.Running {
 		var counts rollout.Counts
 		counts, status.Doubt = r.coordinator.Counts(service)
@@ -180,6 +180,6 @@
 
 func rolloutTally(t *rollout.Tally) controlapi.RolloutTally {
 	return controlapi.RolloutTally{Ends: int(t.Outcomes), Failed: int(t.ByCause[rollout.ServerError]), None: int(t.ByCause[rollout.NoResponse]),
-		Wrong: int(t.ByCause[rollout.InvalidResponse]), Full: int(t.ByCause[rollout.Rejected]), HalfMs: t.Quantile(0.5).Milliseconds(),
-		TenthMs: t.Quantile(0.9).Milliseconds()}
+		Wrong: int(t.ByCause[rollout.InvalidResponse]), Full: int(t.ByCause[rollout.Rejected]), HalfMs: t.LatencyQuantile(0.5).Milliseconds(),
+		TenthMs: t.LatencyQuantile(0.9).Milliseconds()}
 }
--- a/internal/gateway/node/rollout_host.go
+++ b/internal/gateway/node/rollout_host.go
@@ -118,7 +118,7 @@
 	last := run.History[len(run.History)-1]
 	r.peers.logInfo(rolloutPart).Str("service", run.Spec.Service).Uint64("rollout", uint64(run.Number)).
 		Str("verb", string(last.Verb)).Str("by", last.Author).Str("phase", string(run.Phase)).Int("step", run.Step).
-		Int("steps", len(run.Spec.Steps)).Int("share", run.Share()).Str("reason", last.Reason).Msg("roll-out changed")
+		Int("steps", len(run.Spec.Steps)).Int("share", run.CanaryShare()).Str("reason", last.Reason).Msg("roll-out changed")
 }
 
 // tick is the part of the node's periodic timer.
--- a/internal/gateway/node/rollout_host_test.go
+++ b/internal/gateway/node/rollout_host_test.go
@@ -65,7 +65,7 @@
 // localShare is a node's own share, and whether it has caught up with the leader in this incarnation.
 func (t *testCluster) localShare(i int) (share int, touched bool) {
 	h := t.running[i]
-	h.loop.Turn(func() { share, touched = h.rollouts.local.Share("s"), h.rollouts.caughtUp })
+	h.loop.Turn(func() { share, touched = h.rollouts.local.CanaryShare("s"), h.rollouts.caughtUp })
 	return share, touched
 }
 
@@ -111,7 +111,7 @@
 
 	var dry controlapi.RolloutAnswer
 	must.NoError(t, json.Unmarshal([]byte(d.callUntilClear(3, 200, "POST", start, fmt.Sprintf(order, 0, "m", `,"dry_run":true`))), &dry))
-	must.Eq(t, (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).CountMoved(1, users), dry.Moved)
+	must.Eq(t, (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}, {Share: 9000}}}).CountCanaryUsers(1, users), dry.Moved)
 	must.Eq(t, controlapi.RolloutRoom{Old: 200, New: 200, Busy: 100}, *dry.Room)
 	must.Eq(t, "", d.rolloutStatus(3).Phase) // nothing was changed
 	must.StrContains(t, d.callUntilClear(3, 400, "POST", start, fmt.Sprintf(order, 0, "m", `,"shares":1`)), "shares")
@@ -191,7 +191,7 @@
 	back := strings.NewReplacer(`"v1"`, `"v2"`, `"v2"`, `"v1"`).Replace(order) // the way back is one the other way round
 	d.callUntilClear(1, 200, "POST", start, fmt.Sprintf(back, d.rolloutStatus(0).Rev, "back", ""))
 	d.awaitShare(5000)
-	third := (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).CountMoved(3, users)[0]
+	third := (&rollout.Spec{Service: "s", Steps: []rollout.Step{{Share: 5000}}}).CountCanaryUsers(3, users)[0]
 	must.MapLen(t, len(keys)-third, sides())
 
 	d.kill(0) // without a majority each node goes by itself: its share stays, and falls where the version fails
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -18,8 +18,8 @@
 	return v, err
 }
 
-// CallApplied reports whether the call with an ID was applied and its ID is still stored.
-func (s *State) CallApplied(id string) bool { return id != "" && s.appliedCalls.Has(callDigest(id)) }
+// IsCallApplied reports whether the call with an ID was applied and its ID is still stored.
+func (s *State) IsCallApplied(id string) bool { return id != "" && s.appliedCalls.Has(callDigest(id)) }
 
 func callDigest(id string) logentry.Digest { return logentry.DigestOf([]byte(id)) }
 
@@ -40,7 +40,7 @@
 }
 
 func (s *State) decide(e *Entry) (routing.Result, error) {
-	if s.CallApplied(e.CallID) {
+	if s.IsCallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
 	if err := e.Validate(); err != nil {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// EverConnected reports whether this incarnation has been connected to the core. BackendSide may return other sides after the first
+// WasEverConnected reports whether this incarnation has been connected to the core. BackendSide may return other sides after the first
 // connection.
-func (n *Node) EverConnected() bool { return n.everConnected }
+func (n *Node) WasEverConnected() bool { return n.everConnected }
 
 // HasRollouts reports whether this node knows of any roll-out.
 func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
@@ -126,16 +126,16 @@
 	return Baseline
 }
 
-// Share returns the share of users that this node sends to the canary now, in basis points of the users within the roll-out's limits.
-func (n *Node) Share(service string) int {
+// CanaryShare returns the share of users that this node sends to the canary now, in basis points of the users within the roll-out's limits.
+func (n *Node) CanaryShare(service string) int {
 	if local := n.rollouts[service]; local != nil && !local.rolledBack && (n.everConnected || local.Phase == Finished) {
-		return local.Run.Share()
+		return local.Run.CanaryShare()
 	}
 	return 0
 }
 
-// CanaryExcluded reports whether requests must not be attempted on the canary, neither first nor later attempts.
-func (n *Node) CanaryExcluded(service string) bool {
+// IsCanaryExcluded reports whether requests must not be attempted on the canary, neither first nor later attempts.
+func (n *Node) IsCanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
 }
@@ -144,7 +144,7 @@
 // without a user (empty user) stays on the baseline while a roll-out runs.
 func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, compared bool) {
 	local := n.rollouts[service]
-	switch share := n.Share(service); {
+	switch share := n.CanaryShare(service); {
 	case local == nil || local.Phase == RolledBack:
 		return Baseline, false
 	case local.Phase == Finished:
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -91,9 +91,9 @@
 	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
 }
 
-// Quantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. Quantile returns 0 if
+// LatencyQuantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. It returns 0 if
 // there are no responses.
-func (t *Tally) Quantile(fraction float64) time.Duration {
+func (t *Tally) LatencyQuantile(fraction float64) time.Duration {
 	total := uint32(0)
 	for _, n := range t.Latencies {
 		total += n
@@ -121,7 +121,7 @@
 			continue
 		}
 		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failures(), canary.Outcomes,
-			baseline.failures(), baseline.Outcomes, canary.Quantile(0.9).Round(time.Millisecond), baseline.Quantile(0.9).Round(time.Millisecond))
+			baseline.failures(), baseline.Outcomes, canary.LatencyQuantile(0.9).Round(time.Millisecond), baseline.LatencyQuantile(0.9).Round(time.Millisecond))
 	}
 	return text[:max(len(text)-1, 0)]
 }
--- a/internal/gateway/rollout/side.go
+++ b/internal/gateway/rollout/side.go
@@ -57,9 +57,9 @@
 	return int(hi)
 }
 
-// CountMoved returns how many of the given users are on the canary in each step of roll-out n. Dry runs show these numbers, because the
+// CountCanaryUsers returns how many of the given users are on the canary in each step of roll-out n. Dry runs show these numbers, because the
 // actual shares deviate from the configured ones if there are few users.
-func (s *Spec) CountMoved(n Number, users [][]byte) []int {
+func (s *Spec) CountCanaryUsers(n Number, users [][]byte) []int {
 	counts, salt := make([]int, len(s.Steps)), hashSalt(s.Service, n)
 	for _, user := range users {
 		position := userPosition(salt, user)
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -43,8 +43,8 @@
 	History  []HistoryEntry
 }
 
-// Share returns the share of the canary, in basis points of the users within the roll-out's limits.
-func (r *Run) Share() int {
+// CanaryShare returns the share of the canary, in basis points of the users within the roll-out's limits.
+func (r *Run) CanaryShare() int {
 	switch r.Phase {
 	case Running:
 		return r.Spec.Steps[r.Step-1].Share
@@ -125,7 +125,7 @@
 	case Finish:
 		r.Phase = Finished
 	}
-	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.Share(), Author: e.Author, UnixMilli: e.UnixMilli, Reason: e.Reason, Counts: e.Counts})
+	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.CanaryShare(), Author: e.Author, UnixMilli: e.UnixMilli, Reason: e.Reason, Counts: e.Counts})
 	return routing.Accepted, nil
 }
 
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -67,7 +67,7 @@
 		names[i] = fmt.Appendf(nil, "2b9wu3fexd9dnn2c%d", i)
 	}
 	for n := range Number(5) {
-		for i, got := range testSpec(shares...).CountMoved(n, names) {
+		for i, got := range testSpec(shares...).CountCanaryUsers(n, names) {
 			p := float64(shares[i]) / FullShare // the documented deviation is that of independent choices for each user
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
@@ -237,11 +237,11 @@
 	user := []byte("someone")
 	node := NewNode("a", 1, 0)
 	node.ApplyState(s) // state from the node's disk; the roll-out may have been rolled back in the meantime
-	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	must.True(t, node.CanaryShare("libro") == 0 && node.IsCanaryExcluded("libro"))
 	node.SetConnected(true)
-	must.Eq(t, 9000, node.Share("libro"))
+	must.Eq(t, 9000, node.CanaryShare("libro"))
 	node.SetConnected(false)
-	must.Eq(t, 9000, node.Share("libro"))
+	must.Eq(t, 9000, node.CanaryShare("libro"))
 	for now := time.Duration(0); now < 5*time.Second; now += 100 * time.Millisecond {
 		node.Tick(now)
 		for i := range 10 {
@@ -249,7 +249,7 @@
 			node.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
 		}
 	}
-	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	must.True(t, node.CanaryShare("libro") == 0 && node.IsCanaryExcluded("libro"))
 	side, _ := node.ChooseSide("libro", user, Scope{})
 	must.Eq(t, Baseline, side)
 	a, ok := node.Next()
@@ -258,7 +258,7 @@
 	must.StrContains(t, rollback.Reason, "writes: new")
 	node.SetConnected(true)
 	node.ApplyState(s) // the replicated share does not undo the local rollback
-	must.Eq(t, 0, node.Share("libro"))
+	must.Eq(t, 0, node.CanaryShare("libro"))
 	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
 	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -68,9 +68,9 @@
 		must.NoError(t, err)
 		must.True(t, s.LastNumber == 2 && s.Revision == 5 && s.fencingToken == 9, must.Sprint(name))
 		for _, id := range []string{"call-1", "call-2", "call-3", "call-4"} {
-			must.True(t, s.CallApplied(id), must.Sprint(name, id))
+			must.True(t, s.IsCallApplied(id), must.Sprint(name, id))
 		}
-		must.False(t, s.CallApplied("call-5"))
+		must.False(t, s.IsCallApplied("call-5"))
 		must.SliceLen(t, 1, s.Ended())
 		ended := s.Ended()[0]
 		must.Eq(t, *previousVersionSpec(), ended.Spec)
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -58,7 +58,7 @@
 // decideRolloutFinal returns the result for an entry of a roll-out if no later entry can change that result, and otherwise
 // Accepted.
 func (m *Machine) decideRolloutFinal(e *rollout.Entry) (routing.Result, error) {
-	if m.Rollouts.CallApplied(e.CallID) {
+	if m.Rollouts.IsCallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
 	if err := e.Validate(); err != nil {
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -48,9 +48,9 @@
 	return fmt.Sprintf("%s%d", keyGroupName(group), key)
 }
 
-// Names returns the names of some locks, counters and key groups that the callers use. A test uses them to find the replicated groups that
+// SharedNames returns the names of some locks, counters and key groups that the callers use. A test uses them to find the replicated groups that
 // store these objects.
-func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
+func SharedNames() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
 // Callers is a set of simulated callers of all kinds.
 type Callers struct {
@@ -84,7 +84,7 @@
 func (c *Callers) Stop() { c.stopping = true }
 
 // Audit makes a call on each name. Call it when no fault is left and every lease has expired, because each call must then be answered.
-// Unanswered reports the calls that were not.
+// UnansweredAuditCalls reports the calls that were not.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.auditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
@@ -108,8 +108,8 @@
 	})
 }
 
-// Unanswered returns a description of each audit call that got no answer.
-func (c *Callers) Unanswered() []string { return c.unanswered }
+// UnansweredAuditCalls returns a description of each audit call that got no answer.
+func (c *Callers) UnansweredAuditCalls() []string { return c.unanswered }
 
 func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
--- a/internal/lab/simulation/applications.go
+++ b/internal/lab/simulation/applications.go
@@ -58,7 +58,7 @@
 	for _, v := range append(wrong, illegal...) {
 		w.broken = append(w.broken, history.Violation{Rule: ruleOfCall + " " + string(v.Rule), Time: w.now, Who: "application", What: v.Text})
 	}
-	for _, m := range a.callers.Unanswered() {
+	for _, m := range a.callers.UnansweredAuditCalls() {
 		w.broken = append(w.broken, history.Violation{Rule: ruleOfCall + " " + string(callhistory.RuleLost), Time: w.now, Who: "application", What: m})
 	}
 }
