--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -72,7 +72,7 @@
 		case run.Phase != Running:
 			delete(c.active, service)
 		case previous == nil || previous.Number != run.Number || previous.Step != run.Step:
-			c.active[service] = c.newActive(run, previous)
+			c.active[service] = c.newActiveRollout(run, previous)
 		default:
 			previous.Run = *run
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// newActive returns the state for a new step. The lap counter continues from the previous step of the same roll-out.
-func (c *Coordinator) newActive(run *Run, previous *activeRollout) *activeRollout {
+// newActiveRollout returns the state for a new step. The lap counter continues from the previous step of the same roll-out.
+func (c *Coordinator) newActiveRollout(run *Run, previous *activeRollout) *activeRollout {
 	a := &activeRollout{Run: *run, stepStart: c.now, lap: 1, lapStart: c.now, proposedAt: -proposalRetryInterval,
 		reports: map[nodeIncarnation]*receivedReport{}, baselineBackends: unknownBackends}
 	if previous != nil && previous.Number == run.Number {
@@ -106,7 +106,7 @@
 	if newest := a.reports[key]; newest != nil && newest.Seq >= r.Seq || newest == nil && len(a.reports) >= maxReportsPerStep {
 		return nil
 	}
-	decoded, err := r.findings(from)
+	decoded, err := r.decodeFindings(from)
 	if err != nil {
 		return err
 	}
@@ -136,10 +136,10 @@
 	if a == nil {
 		return counts, 0
 	}
-	return a.counts(), a.suspicion
+	return a.totalCounts(), a.suspicion
 }
 
-func (a *activeRollout) counts() (sum Counts) {
+func (a *activeRollout) totalCounts() (sum Counts) {
 	for _, r := range a.reports {
 		sum.Add(&r.Report.Counts)
 	}
@@ -160,15 +160,15 @@
 		}
 		if a.changed {
 			a.changed = false
-			c.evaluate(a)
+			c.evaluateReports(a)
 		}
 		c.maybeAdvance(a)
 	}
 }
 
-// collect returns the findings of all reports, the nodes that reported, and the nodes that rolled back locally. Findings of another
+// collectFindings returns the findings of all reports, the nodes that reported, and the nodes that rolled back locally. Findings of another
 // lap count only in the window of the step.
-func (a *activeRollout) collect() (list []*findings, reporting, rolledBack map[NodeID]bool) {
+func (a *activeRollout) collectFindings() (list []*findings, reporting, rolledBack map[NodeID]bool) {
 	reporting, rolledBack = map[NodeID]bool{}, map[NodeID]bool{}
 	for key, r := range a.reports {
 		reporting[key.node] = true
@@ -186,10 +186,10 @@
 	return list, reporting, rolledBack
 }
 
-// evaluate combines the findings of all nodes. It proposes a rollback if the score reaches 1 and the findings are not those of a single
+// evaluateReports combines the findings of all nodes. It proposes a rollback if the score reaches 1 and the findings are not those of a single
 // node among several, or if at least two nodes have rolled back locally. If the baseline has no ready backend, it proposes a pause instead.
-func (c *Coordinator) evaluate(a *activeRollout) {
-	list, reporting, rolledBack := a.collect()
+func (c *Coordinator) evaluateReports(a *activeRollout) {
+	list, reporting, rolledBack := a.collectFindings()
 	score, suspicion := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
 	a.suspicion = suspicion
 	if len(rolledBack) > 0 { // a local rollback at one node is enough to prevent the next step
@@ -199,7 +199,7 @@
 	if (score < 1 || singleReporter) && len(rolledBack) < 2 {
 		return
 	}
-	counts := a.counts()
+	counts := a.totalCounts()
 	switch {
 	case a.baselineBackends != 0:
 		c.propose(a, Rollback, a.Step, counts.describe())
@@ -215,7 +215,7 @@
 		c.now-a.stepStart < step.minTime() {
 		return
 	}
-	counts := a.counts()
+	counts := a.totalCounts()
 	if seen := int(counts[Canary][Read].Outcomes + counts[Canary][Write].Outcomes); seen >= step.Requests {
 		c.propose(a, Advance, a.Step+1, fmt.Sprintf("the new version passed the step with %d requests", seen))
 	}
@@ -230,5 +230,5 @@
 	}
 	a.proposedAt = c.now
 	c.push(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: why, Number: a.Number, Step: step,
-		FencingToken: c.fencingToken, Counts: a.counts()}})
+		FencingToken: c.fencingToken, Counts: a.totalCounts()}})
 }
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -12,7 +12,7 @@
 // returns routing.Ambiguous for it.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	v, err := s.decide(e)
-	if v == routing.Conflict && s.mayBeForgotten(e) {
+	if v == routing.Conflict && s.mayHaveBeenApplied(e) {
 		return routing.Ambiguous, errors.Wrap(err, "call may have been applied earlier, its ID is no longer stored")
 	}
 	return v, err
@@ -23,8 +23,8 @@
 
 func callDigest(id string) logentry.Digest { return logentry.DigestOf([]byte(id)) }
 
-// mayBeForgotten reports whether an entry's call may have been applied although its ID is no longer stored.
-func (s *State) mayBeForgotten(e *Entry) bool {
+// mayHaveBeenApplied reports whether an entry's call may have been applied although its ID is no longer stored.
+func (s *State) mayHaveBeenApplied(e *Entry) bool {
 	horizon := s.appliedCalls.Horizon()
 	if e.CallID == "" || horizon == 0 || s.Run(e.Service) == nil {
 		return false
@@ -35,7 +35,7 @@
 	return e.Revision < horizon
 }
 
-func conflict(field, format string, args ...any) (routing.Result, error) {
+func conflictResult(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
@@ -53,22 +53,22 @@
 	ignoresRevision := e.Verb == Rollback || e.Verb == Pause // these stay valid after any change to the roll-out
 	switch {
 	case r == nil:
-		return conflict("service", "%q has no roll-out", e.Service)
+		return conflictResult("service", "%q has no roll-out", e.Service)
 	case e.Number != r.Number:
-		return conflict("number", "is %d, but the newest roll-out is %d", e.Number, r.Number)
+		return conflictResult("number", "is %d, but the newest roll-out is %d", e.Number, r.Number)
 	case r.Phase != Running:
-		return conflict("number", "roll-out %d is %s", r.Number, r.Phase)
-	case !e.byCoordinator() && e.Revision != r.Revision && !ignoresRevision:
-		return conflict("rev", "is %d, but the current revision is %d", e.Revision, r.Revision)
-	case e.byCoordinator() && e.FencingToken < s.fencingToken:
-		return conflict("fence", "is %d, but an entry with token %d was already applied", e.FencingToken, s.fencingToken)
+		return conflictResult("number", "roll-out %d is %s", r.Number, r.Phase)
+	case !e.isFromCoordinator() && e.Revision != r.Revision && !ignoresRevision:
+		return conflictResult("rev", "is %d, but the current revision is %d", e.Revision, r.Revision)
+	case e.isFromCoordinator() && e.FencingToken < s.fencingToken:
+		return conflictResult("fence", "is %d, but an entry with token %d was already applied", e.FencingToken, s.fencingToken)
 	}
 	switch e.Verb {
 	case Advance:
 		return decideAdvance(e, r)
 	case Finish:
-		if r.Step < len(r.Spec.Steps) || e.byCoordinator() {
-			return conflict("step", "current step is %d of %d, and only an operator may finish the last step", r.Step, len(r.Spec.Steps))
+		if r.Step < len(r.Spec.Steps) || e.isFromCoordinator() {
+			return conflictResult("step", "current step is %d of %d, and only an operator may finish the last step", r.Step, len(r.Spec.Steps))
 		}
 	}
 	return routing.Accepted, nil
@@ -76,10 +76,10 @@
 
 func decideAdvance(e *Entry, r *Run) (routing.Result, error) {
 	if e.Step != r.Step+1 || e.Step > len(r.Spec.Steps) {
-		return conflict("step", "is %d, but the current step is %d of %d", e.Step, r.Step, len(r.Spec.Steps))
+		return conflictResult("step", "is %d, but the current step is %d of %d", e.Step, r.Step, len(r.Spec.Steps))
 	}
-	if e.byCoordinator() && (r.Paused || r.Spec.Advance != AdvanceByTime) {
-		return conflict("step", "next step waits for an operator's command")
+	if e.isFromCoordinator() && (r.Paused || r.Spec.Advance != AdvanceByTime) {
+		return conflictResult("step", "next step waits for an operator's command")
 	}
 	return routing.Accepted, nil
 }
@@ -94,10 +94,10 @@
 		current = r.Revision
 	}
 	if e.Revision != current {
-		return conflict("rev", "is %d, but the current revision is %d", e.Revision, current)
+		return conflictResult("rev", "is %d, but the current revision is %d", e.Revision, current)
 	}
 	if r != nil && r.Phase == Running {
-		return conflict("service", "roll-out %d of %q is still running", r.Number, e.Service)
+		return conflictResult("service", "roll-out %d of %q is still running", r.Number, e.Service)
 	}
 	if r == nil && len(s.runs) >= maxServices {
 		return routing.Invalid, logentry.FieldErrorf("service", "%d services have roll-outs, which is the limit", maxServices)
--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -54,8 +54,8 @@
 	ErrNoSpec      = errors.New("order: missing, or for another service")
 )
 
-// byCoordinator reports whether a coordinator proposed the entry.
-func (e *Entry) byCoordinator() bool { return e.FencingToken != 0 }
+// isFromCoordinator reports whether a coordinator proposed the entry.
+func (e *Entry) isFromCoordinator() bool { return e.FencingToken != 0 }
 
 // Validate checks the fields of an entry, independent of the state. It returns ErrTextTooLong, ErrNoSpec or a logentry.FieldError.
 func (e *Entry) Validate() error {
@@ -66,7 +66,7 @@
 	}
 	switch e.Verb {
 	case Start:
-		if e.Spec == nil || e.Spec.Service != e.Service || e.byCoordinator() {
+		if e.Spec == nil || e.Spec.Service != e.Service || e.isFromCoordinator() {
 			return ErrNoSpec
 		}
 		spec := *e.Spec
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -46,9 +46,9 @@
 	excluded       bool // not counted, to check whether a decision depends on one node
 }
 
-// wealthOf returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend is 0, the
+// logWealthWithout returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend is 0, the
 // failures of all backends count.
-func (f *findings) wealthOf(window int, excludedBackend uint64) logWealth {
+func (f *findings) logWealthWithout(window int, excludedBackend uint64) logWealth {
 	wealth := f.total[window]
 	if backend := f.perBackend[excludedBackend]; backend != nil {
 		for test := range wealth {
@@ -60,16 +60,16 @@
 	return wealth
 }
 
-// wealth returns the total wealth of all bets in a window, without the failures of excludedBackend. The total stake is 1. If excludedBackend
+// totalWealth returns the total wealth of all bets in a window, without the failures of excludedBackend. The total stake is 1. If excludedBackend
 // is 0, the failures of all backends count.
-func wealth(list []*findings, window int, excludedBackend uint64) float64 {
+func totalWealth(list []*findings, window int, excludedBackend uint64) float64 {
 	var sum logWealth
 	zones := map[string]*[2][ratioCount]float64{} // by kind of request
 	for _, f := range list {
 		if f.excluded {
 			continue
 		}
-		logs := f.wealthOf(window, excludedBackend)
+		logs := f.logWealthWithout(window, excludedBackend)
 		zone := zones[f.zone]
 		if zone == nil && len(zones) < maxZones {
 			zone = new([2][ratioCount]float64)
@@ -127,7 +127,7 @@
 func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, suspicion float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
 		required := 2 * k * (k + 1) / falsePositiveRate
-		minWealth := wealth(list, window, 0)
+		minWealth := totalWealth(list, window, 0)
 		suspicion = max(suspicion, minWealth/suspicionWealth)
 		if minWealth < required {
 			continue
@@ -151,7 +151,7 @@
 	minWealth := math.Inf(1)
 	if seen > 1 || len(failing) > 1 {
 		for id := range failing {
-			minWealth = min(minWealth, wealth(list, window, id))
+			minWealth = min(minWealth, totalWealth(list, window, id))
 		}
 	}
 	return minWealth
@@ -171,7 +171,7 @@
 		for _, f := range list {
 			f.excluded = f.node == node && len(nodes) > 1
 		}
-		minWealth = min(minWealth, wealth(list, window, 0))
+		minWealth = min(minWealth, totalWealth(list, window, 0))
 	}
 	for _, f := range list {
 		f.excluded = false
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -32,7 +32,7 @@
 // failureRatios are the assumed ratios of the canary's failure rate to the baseline's failure rate. Each test has one bet for each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. Each bet counts with a stake of 1 here. The wealth
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. Each bet counts with a stake of 1 here. The totalWealth
 // function multiplies the result by the stakes.
 type logWealth [testCount][ratioCount]float64
 
@@ -45,8 +45,8 @@
 
 func newEvidence() evidence { return evidence{perBackend: map[uint64]*[windowCount]logWealth{}} }
 
-// backend returns the part of the evidence that comes from one backend's failures. It adds an empty part if there is none.
-func (e *evidence) backend(id uint64) *[windowCount]logWealth {
+// ensureBackend returns the part of the evidence that comes from one backend's failures. It adds an empty part if there is none.
+func (e *evidence) ensureBackend(id uint64) *[windowCount]logWealth {
 	wealth := e.perBackend[id]
 	if wealth == nil {
 		wealth = new([windowCount]logWealth)
@@ -95,18 +95,18 @@
 			for w := range e.total {
 				e.total[w][test][i] += change
 			}
-			e.addBackends(s, test, i, gain)
+			e.addBackendFailures(s, test, i, gain)
 		}
 	}
 }
 
-// addBackends adds the failures of a test to the evidence of the backends on which they occurred.
-func (e *evidence) addBackends(s *span, test, ratio int, gain float64) {
+// addBackendFailures adds the failures of a test to the evidence of the backends on which they occurred.
+func (e *evidence) addBackendFailures(s *span, test, ratio int, gain float64) {
 	for id, failures := range s.perBackend {
 		if failures[test] == 0 {
 			continue
 		}
-		wealth := e.backend(id)
+		wealth := e.ensureBackend(id)
 		for w := range wealth {
 			wealth[w][test][ratio] += float64(failures[test]) * gain
 		}
@@ -181,7 +181,7 @@
 			if e.perBackend[id] == nil && len(e.perBackend) >= maxBackends {
 				return nil, ErrTooManyBackends
 			}
-			wealth = &e.backend(id)[window][test]
+			wealth = &e.ensureBackend(id)[window][test]
 		}
 		for i := range wealth {
 			nats, n := binary.Varint(b)
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -199,16 +199,16 @@
 		}
 		local.counter.closeSpan(n.now)
 		if local.counter.changed && !local.rolledBack {
-			n.evaluate(local)
+			n.evaluateLocally(local)
 		}
 		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.reportImmediately) {
-			n.push(SendReport{n.report(local)})
+			n.push(SendReport{n.nextReport(local)})
 		}
 	}
 }
 
-// evaluate evaluates the evidence of this node alone. It rolls back locally if this evidence shows that the canary fails.
-func (n *Node) evaluate(local *localRollout) {
+// evaluateLocally evaluates the evidence of this node alone. It rolls back locally if this evidence shows that the canary fails.
+func (n *Node) evaluateLocally(local *localRollout) {
 	c := local.counter
 	c.changed = false
 	own := []*findings{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
@@ -220,8 +220,8 @@
 	}
 }
 
-// report returns the next report on a roll-out and increments its sequence number.
-func (n *Node) report(local *localRollout) Report {
+// nextReport returns the next report on a roll-out and increments its sequence number.
+func (n *Node) nextReport(local *localRollout) Report {
 	c := local.counter
 	local.unreported, local.reportedAt = false, n.now
 	local.seq++
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -107,8 +107,8 @@
 	return 0
 }
 
-// failures returns the number of outcomes that are a fault of the version, independent of the FailureCriteria.
-func (t *Tally) failures() uint32 {
+// failureCount returns the number of outcomes that are a fault of the version, independent of the FailureCriteria.
+func (t *Tally) failureCount() uint32 {
 	return t.ByCause[ServerError] + t.ByCause[NoResponse] + t.ByCause[InvalidResponse]
 }
 
@@ -120,8 +120,8 @@
 		if canary.Outcomes == 0 {
 			continue
 		}
-		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failures(), canary.Outcomes,
-			baseline.failures(), baseline.Outcomes, canary.LatencyQuantile(0.9).Round(time.Millisecond), baseline.LatencyQuantile(0.9).Round(time.Millisecond))
+		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failureCount(), canary.Outcomes,
+			baseline.failureCount(), baseline.Outcomes, canary.LatencyQuantile(0.9).Round(time.Millisecond), baseline.LatencyQuantile(0.9).Round(time.Millisecond))
 	}
 	return text[:max(len(text)-1, 0)]
 }
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -28,8 +28,8 @@
 	Lap     int
 }
 
-// findings returns the findings of a report that a node sent. It returns an error if the evidence cannot be decoded.
-func (r *Report) findings(from NodeID) (*findings, error) {
+// decodeFindings returns the findings of a report that a node sent. It returns an error if the evidence cannot be decoded.
+func (r *Report) decodeFindings(from NodeID) (*findings, error) {
 	e, err := decodeEvidence(r.Evidence)
 	if err != nil {
 		return nil, errors.Wrapf(err, "decode report on service %s", r.Service)
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -31,20 +31,20 @@
 	now           time.Duration
 
 	canaryRequests, canaryFailures int // requests sent to the canary, and those that failed there
-	reportsLostOfSeven             int // average number of lost reports out of seven
+	lostReportsOfSeven             int // average number of lost reports out of seven
 	evidenceBytes                  int
 	rollbackReason                 string
 	localRollbacks                 int
 }
 
 const (
-	baselineCount, canaryCount = 7, 6
-	tick                       = 250 * time.Millisecond
+	baselineBackendCount, canaryBackendCount = 7, 6
+	tick                                     = 250 * time.Millisecond
 )
 
 func newSimulation(seed int64, nodes int, rate float64, spec *Spec) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), rate: rate, failureRate: 0.004, state: NewState(),
-		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, reportsLostOfSeven: 1}
+		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, lostReportsOfSeven: 1}
 	sim.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
 	sim.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
 	e := startEntry(spec, 0, "")
@@ -57,7 +57,7 @@
 		node.SetConnected(true)
 		sim.nodes = append(sim.nodes, node)
 	}
-	for b := range uint64(baselineCount + canaryCount) {
+	for b := range uint64(baselineBackendCount + canaryBackendCount) {
 		sim.backendSpeed[b+1] = math.Exp(0.15 * sim.rng.NormFloat64())
 	}
 	sim.applyState()
@@ -71,22 +71,22 @@
 	}
 }
 
-// step simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the coordinator
+// simulateTick simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the coordinator
 // proposes. The entries take effect at the nodes with the next tick.
-func (s *simulation) step() {
+func (s *simulation) simulateTick() {
 	s.now += tick
 	failureFactor, latencyFactor := s.commonFactors(s.now)
 	for i, node := range s.nodes {
 		n := s.rate * tick.Seconds() / float64(len(s.nodes))
 		for range int(n + s.rng.Float64()) {
-			s.request(i, node, failureFactor, latencyFactor)
+			s.simulateRequest(i, node, failureFactor, latencyFactor)
 		}
 		node.Tick(s.now)
 		for a, ok := node.Next(); ok; a, ok = node.Next() {
 			switch a := a.(type) {
 			case SendReport:
 				s.evidenceBytes += len(a.Report.Evidence)
-				if s.rng.Intn(7) >= s.reportsLostOfSeven {
+				if s.rng.Intn(7) >= s.lostReportsOfSeven {
 					if err := s.coordinator.HandleReport(NodeID(i), a.Report); err != nil {
 						panic(err)
 					}
@@ -115,17 +115,17 @@
 	}
 }
 
-func (s *simulation) request(nodeIndex int, n *Node, failureFactor, latencyFactor float64) {
+func (s *simulation) simulateRequest(nodeIndex int, n *Node, failureFactor, latencyFactor float64) {
 	user := s.rng.Intn(4000)
 	name := binary.LittleEndian.AppendUint16(nil, uint16(user))
 	tenant := user % 8
 	side, compared := n.ChooseSide("libro", name, Scope{})
-	outcome := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + s.rng.Intn(baselineCount))}
+	outcome := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + s.rng.Intn(baselineBackendCount))}
 	if s.rng.Float64() < 0.3 {
 		outcome.Kind, outcome.Route = Write, 1
 	}
 	if side == Canary {
-		outcome.Backend = uint64(1 + baselineCount + s.rng.Intn(canaryCount))
+		outcome.Backend = uint64(1 + baselineBackendCount + s.rng.Intn(canaryBackendCount))
 		outcome.WarmingUp = s.now < 8*time.Second
 		s.canaryRequests++
 	}
@@ -158,9 +158,9 @@
 			for seed := part; seed < runs; seed += 8 {
 				sim := newSimulation(int64(seed), 6, 150, testSpec(100, 500, 2500, 5000))
 				sim.failureRate = 0.004 + 0.026*sim.rng.Float64()
-				injectFaults(sim)
+				injectRandomFault(sim)
 				for sim.now < 45*time.Second && sim.rollbackReason == "" {
-					sim.step()
+					sim.simulateTick()
 				}
 				mu.Lock()
 				if localRollbacks += sim.localRollbacks; sim.rollbackReason != "" {
@@ -182,12 +182,12 @@
 	must.GreaterEq(t, runs*8/10, finished)
 }
 
-// injectFaults adds one kind of fault at random, or none. The kinds are a period with more failures and higher latency on both sides, a
+// injectRandomFault adds one kind of fault at random, or none. The kinds are a period with more failures and higher latency on both sides, a
 // backend that crashes, a backend that is faulty all the time, and a zone whose nodes have network problems.
-func injectFaults(sim *simulation) {
+func injectRandomFault(sim *simulation) {
 	faultStart := time.Duration(5+sim.rng.Intn(30)) * time.Second
 	active := func(now, long time.Duration) bool { return now >= faultStart && now < faultStart+long }
-	faultyBackend := uint64(1 + sim.rng.Intn(baselineCount+canaryCount))
+	faultyBackend := uint64(1 + sim.rng.Intn(baselineBackendCount+canaryBackendCount))
 	unhealthyZone := sim.rng.Intn(3)
 	switch sim.rng.Intn(5) {
 	case 0:
@@ -226,7 +226,7 @@
 	t.Parallel()
 	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
 	type only = func(now time.Duration, e *Outcome, zone, tenant int) bool
-	always := func(fails, slower float64, only only) fault {
+	failsWhen := func(fails, slower float64, only only) fault {
 		return func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64) {
 			if e.Side == Canary && only(now, e, zone, tenant) {
 				return fails, slower
@@ -247,21 +247,21 @@
 		fault fault
 		most  time.Duration // documented limit of the median time to the rollback
 	}{
-		{"all writes, one in five", 100, 350, always(.2, 1, writes), 80 * time.Second},
-		{"all writes, one in five", 1000, 350, always(.2, 1, writes), 8 * time.Second},
-		{"all writes, one in five", 5000, 350, always(.2, 1, writes), 5 * time.Second},
-		{"all writes, one in five", 9000, 350, always(.2, 1, writes), 15 * time.Second},
-		{"all writes, one in five", 1000, 3500, always(.2, 1, writes), 3 * time.Second},
-		{"everything, wrong bytes", 100, 350, always(1, 1, everything), 6 * time.Second},
-		{"everything, wrong bytes", 5000, 350, always(1, 1, everything), 3 * time.Second},
-		{"one in 200", 2500, 3500, always(.005, 1, everything), 90 * time.Second},
-		{"one in 50", 2500, 350, always(.02, 1, everything), 40 * time.Second},
-		{"one tenant of eight, half", 1000, 350, always(.5, 1, oneTenant), 25 * time.Second},
-		{"one zone of three, one in five", 1000, 350, always(.2, 1, oneZone), 15 * time.Second},
-		{"twice as slow", 1000, 350, always(0, 2, everything), 45 * time.Second},
-		{"three times as slow", 1000, 350, always(0, 3, everything), 15 * time.Second},
-		{"only when cold, one in five", 1000, 350, always(.2, 1, warmingUp), 8 * time.Second},
-		{"after ten minutes, one in five", 1000, 60, always(.2, 1, afterTenMinutes), 60 * time.Second},
+		{"all writes, one in five", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
+		{"all writes, one in five", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
+		{"all writes, one in five", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
+		{"all writes, one in five", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
+		{"all writes, one in five", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
+		{"everything, wrong bytes", 100, 350, failsWhen(1, 1, everything), 6 * time.Second},
+		{"everything, wrong bytes", 5000, 350, failsWhen(1, 1, everything), 3 * time.Second},
+		{"one in 200", 2500, 3500, failsWhen(.005, 1, everything), 90 * time.Second},
+		{"one in 50", 2500, 350, failsWhen(.02, 1, everything), 40 * time.Second},
+		{"one tenant of eight, half", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
+		{"one zone of three, one in five", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
+		{"twice as slow", 1000, 350, failsWhen(0, 2, everything), 45 * time.Second},
+		{"three times as slow", 1000, 350, failsWhen(0, 3, everything), 15 * time.Second},
+		{"only when cold, one in five", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
+		{"after ten minutes, one in five", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
 	} {
 		const runs = 5
 		var took []time.Duration
@@ -275,7 +275,7 @@
 			sim.fault = c.fault
 			requestsBeforeFault := 0
 			for sim.rollbackReason == "" && sim.now < faultStart+2*time.Minute {
-				if sim.step(); sim.now == faultStart {
+				if sim.simulateTick(); sim.now == faultStart {
 					requestsBeforeFault = sim.canaryRequests
 				}
 			}
@@ -298,14 +298,14 @@
 func TestReportOrderDoesNotChangeCounts(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(1, 2, 400, testSpec(5000))
-	sim.reportsLostOfSeven = 7
+	sim.lostReportsOfSeven = 7
 	var reports []Report
 	for range 3 {
 		for range 4 {
 			sim.now += tick
 			for i, node := range sim.nodes {
 				for range 40 {
-					sim.request(i, node, 1, 1)
+					sim.simulateRequest(i, node, 1, 1)
 				}
 				node.Tick(sim.now)
 				for a, ok := node.Next(); ok; a, ok = node.Next() {
@@ -322,8 +322,8 @@
 	want.Add(&reports[4].Counts)
 	want.Add(&reports[5].Counts)
 	must.Eq(t, uint32(480*2), want[0][0].Outcomes+want[0][1].Outcomes+want[1][0].Outcomes+want[1][1].Outcomes)
-	var each func(left, done []int)
-	each = func(left, done []int) {
+	var deliverInEveryOrder func(left, done []int)
+	deliverInEveryOrder = func(left, done []int) {
 		coordinator := NewCoordinator(2, sim.now)
 		coordinator.ApplyState(sim.state)
 		for _, i := range append(done, done...) {
@@ -340,10 +340,10 @@
 		}
 		for i := range left {
 			rest := slices.Delete(slices.Clone(left), i, i+1)
-			each(rest, append(slices.Clone(done), left[i]))
+			deliverInEveryOrder(rest, append(slices.Clone(done), left[i]))
 		}
 	}
-	each([]int{0, 1, 2, 3, 4, 5}, nil)
+	deliverInEveryOrder([]int{0, 1, 2, 3, 4, 5}, nil)
 	broken := reports[5]
 	broken.Evidence = broken.Evidence[:len(broken.Evidence)-1]
 	coordinator := NewCoordinator(2, 0)
@@ -362,7 +362,7 @@
 	coordinator.SetNodeCount(12)
 	coordinator.ApplyState(s)
 	now := time.Duration(0)
-	reports := func(id NodeID, incarnation uint64) (rolledBack bool) {
+	reportFailuresFrom := func(id NodeID, incarnation uint64) (rolledBack bool) {
 		node := NewNode("a", incarnation, now)
 		node.ApplyState(s)
 		node.SetConnected(true)
@@ -384,7 +384,7 @@
 		}
 		return rolledBack
 	}
-	must.False(t, reports(3, 1))
-	must.False(t, reports(3, 2))
-	must.True(t, reports(4, 3)) // a second node confirms the failures
+	must.False(t, reportFailuresFrom(3, 1))
+	must.False(t, reportFailuresFrom(3, 2))
+	must.True(t, reportFailuresFrom(4, 3)) // a second node confirms the failures
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -84,7 +84,7 @@
 
 // Run returns the newest roll-out of a service, or nil if there is none. The caller must not modify the result.
 func (s *State) Run(service string) *Run {
-	if i, ok := s.find(service); ok {
+	if i, ok := s.findRun(service); ok {
 		return &s.runs[i]
 	}
 	return nil
@@ -93,7 +93,7 @@
 // HasRollouts reports whether any roll-out is running, or has ended and is still in force.
 func (s *State) HasRollouts() bool { return len(s.runs) > 0 }
 
-func (s *State) find(service string) (int, bool) {
+func (s *State) findRun(service string) (int, bool) {
 	return slices.BinarySearchFunc(s.runs, service, func(r Run, name string) int {
 		return strings.Compare(r.Spec.Service, name)
 	})
@@ -117,7 +117,7 @@
 	step := r.Step
 	switch e.Verb {
 	case Advance:
-		r.Step, r.Paused = e.Step, r.Paused && e.byCoordinator()
+		r.Step, r.Paused = e.Step, r.Paused && e.isFromCoordinator()
 	case Pause:
 		r.Paused = true
 	case Rollback:
@@ -135,7 +135,7 @@
 	r := Run{Number: s.LastNumber, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
 	invariant.Assert(err == nil, "the spec of an accepted start entry is valid")
-	i, exists := s.find(e.Service)
+	i, exists := s.findRun(e.Service)
 	if !exists {
 		s.runs = slices.Insert(s.runs, i, r)
 		return
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -113,7 +113,7 @@
 	must.ErrorIs(t, (&Entry{Verb: Start, Service: "libro"}).Validate(), ErrNoSpec)
 	must.ErrorIs(t, (&Entry{Verb: Pause, Reason: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
 	c := NewCoordinator(1, 0)
-	must.NoError(t, apply(s, startEntry(testSpec(100), 0, "")))
+	must.NoError(t, applyAll(s, startEntry(testSpec(100), 0, "")))
 	c.ApplyState(s)
 	for _, broken := range []struct {
 		evidence []byte
@@ -139,12 +139,12 @@
 		{Verb: Pause, Service: "libro", Number: 1, Revision: 1, CallID: "ben-2"},
 		startEntry(next, 2, "ben-3"),
 	}
-	var each func(left []int, done []int)
-	each = func(left []int, done []int) {
+	var applyInEveryOrder func(left []int, done []int)
+	applyInEveryOrder = func(left []int, done []int) {
 		if len(left) > 0 {
 			for i := range left {
 				rest := append(append([]int(nil), left[:i]...), left[i+1:]...)
-				each(rest, append(append([]int(nil), done...), left[i]))
+				applyInEveryOrder(rest, append(append([]int(nil), done...), left[i]))
 			}
 			return
 		}
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	each([]int{0, 1, 2, 3, 4, 5, 6}, nil)
+	applyInEveryOrder([]int{0, 1, 2, 3, 4, 5, 6}, nil)
 }
 
 // Guards against a state that grows without limit, and against a snapshot or an entry that is not restored completely. A truncated
@@ -261,7 +261,7 @@
 	must.Eq(t, 0, node.CanaryShare("libro"))
 	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
-	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
+	must.NoError(t, applyAll(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
 	for i, want := range []Side{Baseline, Canary} { // another roll-out may have rolled back the third version
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
@@ -272,7 +272,7 @@
 	must.Eq(t, Canary, node.BackendSide("libro", "v2"))
 }
 
-func apply(s *State, all ...*Entry) error {
+func applyAll(s *State, all ...*Entry) error {
 	for _, e := range all {
 		if e.Verb == Start {
 			e.Capacity.Canary = 1000
@@ -298,7 +298,7 @@
 			s.Apply(pause(i))
 		}
 		if fromOldSnapshot {
-			stored := s.stored()
+			stored := s.toStored()
 			for i := 300 - maxStoredCalls; i < 300; i++ {
 				stored.Marks = append(stored.Marks, pause(i).CallID)
 			}
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -76,7 +76,7 @@
 
 const maxStoredCalls = 256
 
-func storeCounts(c *Counts) (stored storedCounts) {
+func newStoredCounts(c *Counts) (stored storedCounts) {
 	for side := range c {
 		for kind := range c[side] {
 			t := &c[side][kind]
@@ -86,7 +86,7 @@
 	return stored
 }
 
-func (s *storedCounts) counts() (c Counts) {
+func (s *storedCounts) toCounts() (c Counts) {
 	for side := range s {
 		for kind := range s[side] {
 			t := &s[side][kind]
@@ -96,16 +96,16 @@
 	return c
 }
 
-func storeCapacity(c Capacity) storedCapacity {
+func newStoredCapacity(c Capacity) storedCapacity {
 	return storedCapacity{c.Baseline, c.Canary, c.PeakInUse}
 }
 
-func (s storedCapacity) capacity() Capacity { return Capacity{s.Old, s.New, s.Busy} }
+func (s storedCapacity) toCapacity() Capacity { return Capacity{s.Old, s.New, s.Busy} }
 
 // Encode returns the entry in its log encoding.
 func (e *Entry) Encode() []byte {
 	return logentry.Encode(storedEntry{Verb: e.Verb, Service: e.Service, Mark: e.CallID, By: e.Author, At: e.UnixMilli, Why: e.Reason, Rev: e.Revision,
-		Number: e.Number, Step: e.Step, Fence: e.FencingToken, Order: e.Spec, Room: storeCapacity(e.Capacity), Counts: storeCounts(&e.Counts)})
+		Number: e.Number, Step: e.Step, Fence: e.FencingToken, Order: e.Spec, Room: newStoredCapacity(e.Capacity), Counts: newStoredCounts(&e.Counts)})
 }
 
 // DecodeEntry decodes the result of Encode.
@@ -113,59 +113,59 @@
 	var s storedEntry
 	err := logentry.Decode(b, &s, "entry of a roll-out")
 	return &Entry{Verb: s.Verb, Service: s.Service, CallID: s.Mark, Author: s.By, UnixMilli: s.At, Reason: s.Why, Revision: s.Rev,
-		Number: s.Number, Step: s.Step, FencingToken: s.Fence, Spec: s.Order, Capacity: s.Room.capacity(), Counts: s.Counts.counts()}, err
+		Number: s.Number, Step: s.Step, FencingToken: s.Fence, Spec: s.Order, Capacity: s.Room.toCapacity(), Counts: s.Counts.toCounts()}, err
 }
 
 // Wire returns the report in the form that is sent between nodes.
 func (r *Report) Wire() *WireReport {
 	return &WireReport{Service: r.Service, Number: r.Number, Step: r.Step, Lap: r.Lap, Life: r.Incarnation, Seq: r.Seq, Zone: r.Zone,
-		Alone: r.RolledBack, Backs: r.CanaryBackends, Counts: storeCounts(&r.Counts), Evidence: r.Evidence}
+		Alone: r.RolledBack, Backs: r.CanaryBackends, Counts: newStoredCounts(&r.Counts), Evidence: r.Evidence}
 }
 
 // Report returns the report that was received as w.
 func (w *WireReport) Report() Report {
 	return Report{Service: w.Service, Number: w.Number, Step: w.Step, Lap: w.Lap, Incarnation: w.Life, Seq: w.Seq, Zone: w.Zone,
-		RolledBack: w.Alone, CanaryBackends: w.Backs, Counts: w.Counts.counts(), Evidence: w.Evidence}
+		RolledBack: w.Alone, CanaryBackends: w.Backs, Counts: w.Counts.toCounts(), Evidence: w.Evidence}
 }
 
-// storeRuns converts roll-outs to their stored form. It returns nil if there are none, as the other conversions do. Gob omits both nil and
+// newStoredRuns converts roll-outs to their stored form. It returns nil if there are none, as the other conversions do. Gob omits both nil and
 // an empty slice, but a restored state must equal the original.
-func storeRuns(runs []Run) (stored []storedRun) {
+func newStoredRuns(runs []Run) (stored []storedRun) {
 	for i := range runs {
 		r := &runs[i]
-		s := storedRun{Number: r.Number, Rev: r.Revision, Order: r.Spec, Room: storeCapacity(r.Capacity), Phase: r.Phase, Step: r.Step, Held: r.Paused}
+		s := storedRun{Number: r.Number, Rev: r.Revision, Order: r.Spec, Room: newStoredCapacity(r.Capacity), Phase: r.Phase, Step: r.Step, Held: r.Paused}
 		for j := range r.History {
 			h := &r.History[j]
 			s.History = append(s.History, storedHistory{Verb: h.Verb, Step: h.Step, Share: h.Share, By: h.Author, At: h.UnixMilli, Why: h.Reason,
-				Counts: storeCounts(&h.Counts)})
+				Counts: newStoredCounts(&h.Counts)})
 		}
 		stored = append(stored, s)
 	}
 	return stored
 }
 
-func runsOf(stored []storedRun) (runs []Run) {
+func runsFromStored(stored []storedRun) (runs []Run) {
 	for i := range stored {
 		s := &stored[i]
-		r := Run{Number: s.Number, Revision: s.Rev, Spec: s.Order, Capacity: s.Room.capacity(), Phase: s.Phase, Step: s.Step, Paused: s.Held}
+		r := Run{Number: s.Number, Revision: s.Rev, Spec: s.Order, Capacity: s.Room.toCapacity(), Phase: s.Phase, Step: s.Step, Paused: s.Held}
 		for j := range s.History {
 			h := &s.History[j]
 			r.History = append(r.History, HistoryEntry{Verb: h.Verb, Step: h.Step, Share: h.Share, Author: h.By, UnixMilli: h.At, Reason: h.Why,
-				Counts: h.Counts.counts()})
+				Counts: h.Counts.toCounts()})
 		}
 		runs = append(runs, r)
 	}
 	return runs
 }
 
-// stored returns the stored form of the state without the window of call IDs.
-func (s *State) stored() storedState {
-	return storedState{Runs: storeRuns(s.runs), Ended: storeRuns(s.ended), Last: s.LastNumber, Rev: s.Revision, Fence: s.fencingToken}
+// toStored returns the stored form of the state without the window of call IDs.
+func (s *State) toStored() storedState {
+	return storedState{Runs: newStoredRuns(s.runs), Ended: newStoredRuns(s.ended), Last: s.LastNumber, Rev: s.Revision, Fence: s.fencingToken}
 }
 
 // Snapshot encodes the state. Processes of the same version encode equal states to equal bytes.
 func (s *State) Snapshot() []byte {
-	stored := s.stored()
+	stored := s.toStored()
 	stored.Window = s.appliedCalls.Bytes()
 	return logentry.Encode(stored)
 }
@@ -180,7 +180,7 @@
 	if err := logentry.Decode(b, &stored, "snapshot of roll-outs"); err != nil {
 		return s, err
 	}
-	s.runs, s.ended, s.LastNumber, s.Revision, s.fencingToken = runsOf(stored.Runs), runsOf(stored.Ended), stored.Last, stored.Rev, stored.Fence
+	s.runs, s.ended, s.LastNumber, s.Revision, s.fencingToken = runsFromStored(stored.Runs), runsFromStored(stored.Ended), stored.Last, stored.Rev, stored.Fence
 	if stored.Window == nil {
 		s.addStoredCalls(stored.Marks)
 		return s, nil
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -75,7 +75,7 @@
 		(&editor{callers: c, name: fmt.Sprintf("e%d", i)}).readAndPut()
 	}
 	for i := range watchers {
-		(&watcher{callers: c, name: fmt.Sprintf("w%d", i), keyGroup: keyGroupName(i % keyGroupCount)}).watch()
+		(&watcher{callers: c, name: fmt.Sprintf("w%d", i), keyGroup: keyGroupName(i % keyGroupCount)}).watchRepeatedly()
 	}
 	return c
 }
@@ -87,20 +87,20 @@
 // UnansweredAuditCalls reports the calls that were not.
 func (c *Callers) Audit() {
 	for i := range counterCount {
-		c.auditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
+		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
 	}
 	for i := range lockCount {
-		c.auditCall(coordination.Call{Operation: coordination.LockAcquire, Name: lockName(i), Holder: "audit", TTL: time.Second})
+		c.sendAuditCall(coordination.Call{Operation: coordination.LockAcquire, Name: lockName(i), Holder: "audit", TTL: time.Second})
 	}
 	for i := range keyGroupCount {
-		c.auditCall(coordination.Call{Operation: coordination.KeyWatch, Name: keyGroupName(i)})
+		c.sendAuditCall(coordination.Call{Operation: coordination.KeyWatch, Name: keyGroupName(i)})
 		for k := range keysPerGroup {
-			c.auditCall(coordination.Call{Operation: coordination.KeyRead, Name: keyName(i, k)})
+			c.sendAuditCall(coordination.Call{Operation: coordination.KeyRead, Name: keyName(i, k)})
 		}
 	}
 }
 
-func (c *Callers) auditCall(call coordination.Call) {
+func (c *Callers) sendAuditCall(call coordination.Call) {
 	c.env.Call("audit", call, func(r *callhistory.Record) {
 		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
 			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call got no answer: %v", r))
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -55,7 +55,7 @@
 	afterRevision uint64
 }
 
-func (w *watcher) watch() {
+func (w *watcher) watchRepeatedly() {
 	c := w.callers
 	if c.stopping {
 		return
@@ -73,6 +73,6 @@
 		if c.rng.IntN(15) == 0 {
 			pause = c.randomDuration(0, c.config.MaxWatcherPause)
 		}
-		c.env.After(pause, w.watch)
+		c.env.After(pause, w.watchRepeatedly)
 	})
 }
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -69,7 +69,7 @@
 	return c
 }
 
-func (c *checker) report(rule Rule, format string, args ...any) {
+func (c *checker) addViolation(rule Rule, format string, args ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
@@ -77,7 +77,7 @@
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedKeys(byName) {
-		c.checkIncreasing("number of "+name, succeeded(byName[name]), func(r *Record) uint64 { return r.Result.Number })
+		c.checkIncreasing("number of "+name, succeededRecords(byName[name]), func(r *Record) uint64 { return r.Result.Number })
 	}
 }
 
@@ -87,7 +87,7 @@
 	firstByValue := map[uint64]*Record{}
 	for _, r := range records {
 		if previous := firstByValue[value(r)]; previous != nil {
-			c.report(RuleOrder, "%s: two calls returned %d: %v and %v", subject, value(r), previous, r)
+			c.addViolation(RuleOrder, "%s: two calls returned %d: %v and %v", subject, value(r), previous, r)
 		}
 		firstByValue[value(r)] = r
 	}
@@ -103,12 +103,12 @@
 			}
 		}
 		if highest != nil && value(r) <= value(highest) {
-			c.report(RuleOrder, "%s: %v returned no higher value than a call that ended before it was sent: %v", subject, r, highest)
+			c.addViolation(RuleOrder, "%s: %v returned no higher value than a call that ended before it was sent: %v", subject, r, highest)
 		}
 	}
 }
 
-func succeeded(records []*Record) (list []*Record) {
+func succeededRecords(records []*Record) (list []*Record) {
 	for _, r := range records {
 		if r.Succeeded() {
 			list = append(list, r)
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -17,41 +17,41 @@
 	now     time.Duration
 }
 
-func (h *historyBuilder) add(call coordination.Call, result coordination.Result) *Record {
+func (h *historyBuilder) addRecord(call coordination.Call, result coordination.Result) *Record {
 	r := &Record{Caller: "a", Call: call, Sent: h.now, Ended: h.now + 1, Result: result}
 	h.now += 2
 	h.records = append(h.records, r)
 	return r
 }
 
-func (h *historyBuilder) acquire(holder string, token uint64, ttl time.Duration) *Record {
-	return h.add(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: ttl}, coordination.Result{FencingToken: token})
+func (h *historyBuilder) addAcquire(holder string, token uint64, ttl time.Duration) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.LockAcquire, Name: "l", Holder: holder, TTL: ttl}, coordination.Result{FencingToken: token})
 }
 
-func (h *historyBuilder) release(holder string, token uint64) *Record {
-	return h.add(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: token}, coordination.Result{})
+func (h *historyBuilder) addRelease(holder string, token uint64) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.LockRelease, Name: "l", Holder: holder, FencingToken: token}, coordination.Result{})
 }
 
-func (h *historyBuilder) number(value uint64) *Record {
-	return h.add(coordination.Call{Operation: coordination.NumberNext, Name: "n"}, coordination.Result{Number: value})
+func (h *historyBuilder) addNumber(value uint64) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.NumberNext, Name: "n"}, coordination.Result{Number: value})
 }
 
-func (h *historyBuilder) put(value string, expected uint64, result coordination.Result) *Record {
-	return h.add(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, result)
+func (h *historyBuilder) addPut(value string, expected uint64, result coordination.Result) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.KeyPut, Name: "g.k", Value: value, Conditional: expected > 0, ExpectedRevision: expected}, result)
 }
 
-func (h *historyBuilder) read(value string, revision uint64) *Record {
-	return h.add(coordination.Call{Operation: coordination.KeyRead, Name: "g.k"}, coordination.Result{Value: value, Revision: revision})
+func (h *historyBuilder) addRead(value string, revision uint64) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.KeyRead, Name: "g.k"}, coordination.Result{Value: value, Revision: revision})
 }
 
-func (h *historyBuilder) watch(after uint64, result coordination.Result) *Record {
-	return h.add(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, result)
+func (h *historyBuilder) addWatch(after uint64, result coordination.Result) *Record {
+	return h.addRecord(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, result)
 }
 
-func revision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
+func resultAt(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
-// events returns the result of a watch that returned the given revision and events with the given revisions.
-func events(revision uint64, revisions ...uint64) (result coordination.Result) {
+// watchResult returns the result of a watch that returned the given revision and events with the given revisions.
+func watchResult(revision uint64, revisions ...uint64) (result coordination.Result) {
 	for _, r := range revisions {
 		result.Events = append(result.Events, coordination.Event{Name: "g.k", Value: fmt.Sprint("v", r), Revision: r})
 	}
@@ -68,70 +68,74 @@
 		write func(b *historyBuilder)
 	}{
 		"no violation": {"", func(b *historyBuilder) {
-			b.acquire("a", 1, 10)
-			b.release("a", 1)
-			b.acquire("b", 2, 10)
-			b.number(1)
-			b.number(3)
-			b.put("v1", 0, revision(1))
-			b.put("v2", 1, revision(2))
-			b.put("v1", 0, revision(1)) // a repetition of the first put
-			b.put("v3", 1, coordination.Result{Status: coordination.StatusConflict, Revision: 2})
-			b.read("v2", 2)
-			b.watch(1, events(2, 2))
+			b.addAcquire("a", 1, 10)
+			b.addRelease("a", 1)
+			b.addAcquire("b", 2, 10)
+			b.addNumber(1)
+			b.addNumber(3)
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 1, resultAt(2))
+			b.addPut("v1", 0, resultAt(1)) // a repetition of the first put
+			b.addPut("v3", 1, coordination.Result{Status: coordination.StatusConflict, Revision: 2})
+			b.addRead("v2", 2)
+			b.addWatch(1, watchResult(2, 2))
 		}},
-		"two holders at once": {RuleOne, func(b *historyBuilder) { b.acquire("a", 1, 10); b.acquire("b", 2, 10) }},
+		"two holders at once": {RuleOne, func(b *historyBuilder) { b.addAcquire("a", 1, 10); b.addAcquire("b", 2, 10) }},
 		"fencing token decreases": {RuleOne, func(b *historyBuilder) {
-			b.acquire("a", 2, 10)
-			b.release("a", 2)
-			b.acquire("b", 1, 10)
+			b.addAcquire("a", 2, 10)
+			b.addRelease("a", 2)
+			b.addAcquire("b", 1, 10)
 		}},
 		"fencing token repeated": {RuleOne, func(b *historyBuilder) {
-			b.acquire("a", 2, 10)
-			b.release("a", 2)
-			b.acquire("b", 2, 10)
+			b.addAcquire("a", 2, 10)
+			b.addRelease("a", 2)
+			b.addAcquire("b", 2, 10)
 		}},
-		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(4) }},
-		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.number(4); b.number(3) }},
-		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v1", 0, revision(1)) }},
+		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(4) }},
+		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(3) }},
+		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.addPut("v2", 0, resultAt(2)); b.addPut("v1", 0, resultAt(1)) }},
 		"conditional put after a later revision": {RuleOrder, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 0, revision(2))
-			b.put("v3", 1, revision(3))
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2))
+			b.addPut("v3", 1, resultAt(3))
 		}},
 		"conditional first put of an existing key": {RuleOrder, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 0, revision(2)).Call.Conditional = true
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2)).Call.Conditional = true
 		}},
 		"watch skips a put": {RuleOrder, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 0, revision(2))
-			b.put("v3", 0, revision(3))
-			b.watch(1, events(3, 3))
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2))
+			b.addPut("v3", 0, resultAt(3))
+			b.addWatch(1, watchResult(3, 3))
 		}},
 		"watch events out of order": {RuleOrder, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 0, revision(2))
-			b.watch(0, events(2, 2, 1))
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2))
+			b.addWatch(0, watchResult(2, 2, 1))
 		}},
-		"stale read":                        {RuleStale, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.put("v2", 0, revision(2)); b.read("v1", 1) }},
-		"value was never put":               {RuleMixed, func(b *historyBuilder) { b.read("x", 1) }},
-		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.put("v1", 0, revision(1)); b.read("v1", 2) }},
-		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.put("v2", 0, revision(2)); b.put("v3", 7, conflict) }},
+		"stale read": {RuleStale, func(b *historyBuilder) {
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2))
+			b.addRead("v1", 1)
+		}},
+		"value was never put":               {RuleMixed, func(b *historyBuilder) { b.addRead("x", 1) }},
+		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.addPut("v1", 0, resultAt(1)); b.addRead("v1", 2) }},
+		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.addPut("v2", 0, resultAt(2)); b.addPut("v3", 7, conflict) }},
 		"rejected put observed": {RuleRefused, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 3, conflict)
-			b.watch(1, events(2, 2))
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 3, conflict)
+			b.addWatch(1, watchResult(2, 2))
 		}},
 		"watch misses a put": {RuleLost, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.put("v2", 0, revision(2))
-			b.watch(1, events(1))
+			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v2", 0, resultAt(2))
+			b.addWatch(1, watchResult(1))
 		}},
 		"resume fails within the retention": {RuleLost, func(b *historyBuilder) {
-			b.put("v1", 0, revision(1))
-			b.watch(0, events(1))
-			b.watch(1, coordination.Result{Status: coordination.StatusCompacted})
+			b.addPut("v1", 0, resultAt(1))
+			b.addWatch(0, watchResult(1))
+			b.addWatch(1, coordination.Result{Status: coordination.StatusCompacted})
 		}},
 	} {
 		b := &historyBuilder{}
@@ -157,15 +161,15 @@
 			var r *Record
 			switch rapid.IntRange(0, 3).Draw(t, "call") {
 			case 0:
-				r = b.read(value, last)
+				r = b.addRead(value, last)
 				if last == 0 {
 					r.Result.Status = coordination.StatusNotFound
 				}
 			case 1:
-				r = b.put(fmt.Sprint("x", i), last+1, coordination.Result{Status: coordination.StatusConflict, Revision: last})
+				r = b.addPut(fmt.Sprint("x", i), last+1, coordination.Result{Status: coordination.StatusConflict, Revision: last})
 			default:
 				last, value = last+1, fmt.Sprint("v", i)
-				r = b.put(value, 0, revision(last))
+				r = b.addPut(value, 0, resultAt(last))
 			}
 			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // makes the call overlap earlier ones
 			r.Ended += time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))
@@ -175,9 +179,9 @@
 		must.SliceEmpty(t, broken)
 		must.SliceEmpty(t, undecided)
 		b.now += 20
-		b.put("w1", 0, revision(last+1))
+		b.addPut("w1", 0, resultAt(last+1))
 		b.now += 20
-		b.read(value, last)
+		b.addRead(value, last)
 		b.records[len(b.records)-1].Result.Status = coordination.StatusOK
 		broken, _ = Linearizable(b.records, time.Minute)
 		must.SliceNotEmpty(t, broken)
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -15,7 +15,7 @@
 	c.observeWatches()
 	reads := c.recordsByName[coordination.KeyRead]
 	for _, key := range sortedKeys(reads) {
-		for _, r := range succeeded(reads[key]) {
+		for _, r := range succeededRecords(reads[key]) {
 			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
 		}
 	}
@@ -36,7 +36,7 @@
 		revisions := maps.Clone(p.acknowledged)
 		maps.Copy(revisions, p.observed)
 		if len(revisions) > 1 {
-			c.report(RuleMixed, "value %q of key %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
+			c.addViolation(RuleMixed, "value %q of key %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		for expected := range p.expectedRevisions {
 			for _, other := range puts {
 				if r := other.revision(); r > expected && r < p.revision() {
-					c.report(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d", p.value, p.key, expected, p.revision(), r)
+					c.addViolation(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d", p.value, p.key, expected, p.revision(), r)
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 		for _, r := range p.rejections {
 			shown := r.Result.Revision
 			if r.Result.Status == coordination.StatusConflict && shown > 0 && !known[shown] && !anyUnknown {
-				c.report(RuleMixed, "%v returned a revision that no put of the key has", r)
+				c.addViolation(RuleMixed, "%v returned a revision that no put of the key has", r)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 		}
 		for _, p := range puts {
 			if p.firstSuccess != nil && p.firstSuccess.endedBefore(r) && p.firstSuccess.Result.Revision > r.Result.Revision {
-				c.report(RuleStale, "%v returned a lower revision than a put acknowledged before the read was sent: %v", r, p.firstSuccess)
+				c.addViolation(RuleStale, "%v returned a lower revision than a put acknowledged before the read was sent: %v", r, p.firstSuccess)
 			}
 		}
 	}
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -74,7 +74,7 @@
 }
 
 func numberOperations(records []*Record) (operations []porcupine.Operation) {
-	for _, r := range succeeded(records) {
+	for _, r := range succeededRecords(records) {
 		call := modelCall{operation: coordination.NumberNext, result: r.Result.Number}
 		operations = append(operations, newOperation(r.Sent, r.Ended, call))
 	}
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -43,9 +43,9 @@
 			switch {
 			case other.Call.Holder == r.Call.Holder:
 			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
-				c.report(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
+				c.addViolation(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
 			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
-				c.report(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
+				c.addViolation(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 			}
 			open[holder] = &holdInterval{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
 		case coordination.LockRenew:
-			current.renew(r)
+			current.applyRenewal(r)
 		}
 	}
 	for _, holder := range sortedKeys(open) {
@@ -88,8 +88,8 @@
 	return ended
 }
 
-// renew applies the answer to a renewal to the interval. It does nothing if the interval is nil.
-func (h *holdInterval) renew(r *Record) {
+// applyRenewal applies the answer to a renewal to the interval. It does nothing if the interval is nil.
+func (h *holdInterval) applyRenewal(r *Record) {
 	switch {
 	case h == nil || !r.IsDefinite():
 	case r.Result.Status == coordination.StatusLockLost:
@@ -105,7 +105,7 @@
 	for i, a := range intervals {
 		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.report(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
+				c.addViolation(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -34,7 +34,7 @@
 	byKey := c.recordsByName[coordination.KeyPut]
 	for _, key := range sortedKeys(byKey) {
 		for _, r := range byKey[key] {
-			c.ensurePut(r).add(r)
+			c.ensurePut(r).addCall(r)
 		}
 	}
 }
@@ -49,8 +49,8 @@
 	return c.puts[id]
 }
 
-// add records a call that belongs to the put.
-func (p *put) add(r *Record) {
+// addCall records a call that belongs to the put.
+func (p *put) addCall(r *Record) {
 	if r.Sent < p.firstSent.Sent {
 		p.firstSent = r
 	}
@@ -97,14 +97,14 @@
 func (c *checker) recordObserved(observer *Record, key, value string, revision uint64) {
 	p := c.puts[putKey(key, value)]
 	if p == nil {
-		c.report(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
+		c.addViolation(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
 		return
 	}
 	if p.firstSent.Sent > observer.Ended {
-		c.report(RuleMixed, "%v returned value %q of key %s before it was put", observer, value, key)
+		c.addViolation(RuleMixed, "%v returned value %q of key %s before it was put", observer, value, key)
 	}
 	if p.firstSuccess == nil && !p.ambiguous {
-		c.report(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
+		c.addViolation(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
 	}
 	p.observed[revision] = true
 }
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -26,13 +26,13 @@
 func (c *checker) checkWatchResult(group string, r *Record) {
 	after, end := r.Call.AfterRevision, r.Result.Revision
 	if end < after {
-		c.report(RuleOrder, "%v returned a lower revision than the one that it started after", r)
+		c.addViolation(RuleOrder, "%v returned a lower revision than the one that it started after", r)
 	}
 	last := after
 	shown := map[uint64]bool{}
 	for _, e := range r.Result.Events {
 		if e.Revision <= last || e.Revision > end {
-			c.report(RuleOrder, "%v returned an event with revision %d after revision %d", r, e.Revision, last)
+			c.addViolation(RuleOrder, "%v returned an event with revision %d after revision %d", r, e.Revision, last)
 		}
 		last = e.Revision
 		shown[e.Revision] = true
@@ -44,10 +44,10 @@
 			continue
 		}
 		if after > 0 && revision > after && revision <= end && !shown[revision] {
-			c.report(RuleOrder, "%v skipped the put of key %s at revision %d", r, p.key, revision)
+			c.addViolation(RuleOrder, "%v skipped the put of key %s at revision %d", r, p.key, revision)
 		}
 		if p.firstSuccess != nil && p.firstSuccess.endedBefore(r) && revision > end && len(r.Result.Events) == 0 {
-			c.report(RuleLost, "%v missed a put acknowledged before the watch was sent: %v", r, p.firstSuccess)
+			c.addViolation(RuleLost, "%v missed a put acknowledged before the watch was sent: %v", r, p.firstSuccess)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
 		if wasGiven && w.endedBefore(r) && r.Sent-w.Ended < c.config.HistoryRetention {
-			c.report(RuleLost, "%v got status 410 for a revision that a watch returned %v before", r, r.Sent-w.Ended)
+			c.addViolation(RuleLost, "%v got status 410 for a revision that a watch returned %v before", r, r.Sent-w.Ended)
 			return
 		}
 	}
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -74,10 +74,10 @@
 
 func (r *response) decode(into any) error { return json.Unmarshal(r.body, into) }
 
-// do sends a request to the nodes until one gives a definite response or the context ends. A node may receive the request more than once,
-// so the call must be safe to repeat. do decodes the body of a successful response into the value that into points to, unless into is nil.
-// If the context ends, do returns ErrUnclear when an attempt may have taken effect, and ErrUnavailable otherwise.
-func (c *Client) do(ctx context.Context, r request, into any) error {
+// callWithRetry sends a request to the nodes until one gives a definite response or the context ends. A node may receive the request more than once,
+// so the call must be safe to repeat. callWithRetry decodes the body of a successful response into the value that into points to, unless into is nil.
+// If the context ends, callWithRetry returns ErrUnclear when an attempt may have taken effect, and ErrUnavailable otherwise.
+func (c *Client) callWithRetry(ctx context.Context, r request, into any) error {
 	var body []byte
 	if r.method != http.MethodGet {
 		var err error
@@ -89,7 +89,7 @@
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		resp, err := c.attempt(ctx, r, body)
 		if err == nil && resp.isDefinite() {
-			if err = resp.error(); err != nil || into == nil {
+			if err = resp.errorForStatus(); err != nil || into == nil {
 				return err
 			}
 			return resp.decode(into)
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -31,7 +31,7 @@
 	io.WriteString(w, text)
 }
 
-func (f *fakeNode) count(substring string) (found int) {
+func (f *fakeNode) requestCount(substring string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
@@ -88,7 +88,7 @@
 	revision, err := c.PutAt(contextWithTimeout(t, time.Minute), "g.k", "v", 3)
 	must.NoError(t, err)
 	must.Eq(t, 9, revision)
-	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
+	must.Eq(t, 3, n.requestCount(`{"value":"v","topic":3}`))
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
 		_, c := newFakeNode(t, nil)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -146,8 +146,8 @@
 	must.NoError(t, err)
 	must.NoError(t, s.Finish(contextWithTimeout(t, time.Minute)))
 	must.ErrorIs(t, context.Cause(s.Context()), ErrFinished)
-	must.Eq(t, 1, n.count(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
-	must.Eq(t, 0, n.count("Heartbeat"))
+	must.Eq(t, 1, n.requestCount(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
+	must.Eq(t, 0, n.requestCount("Heartbeat"))
 }
 
 // TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. This happens when the response that grants
--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -39,8 +39,8 @@
 // Error implements the error interface.
 func (c *ConflictError) Error() string { return fmt.Sprintf("conflict at key revision %d", c.Revision) }
 
-// error returns the error that a definite response stands for, or nil for success. api/control.yaml defines the status codes.
-func (r *response) error() error {
+// errorForStatus returns the error that a definite response stands for, or nil for success. api/control.yaml defines the status codes.
+func (r *response) errorForStatus() error {
 	switch r.status {
 	case http.StatusOK:
 		return nil
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -15,7 +15,7 @@
 		Value uint64 `json:"value"`
 	}
 	r := request{method: http.MethodPost, path: "/api/numbers/" + url.PathEscape(name), body: struct{}{}}
-	err := c.do(ctx, r, &next)
+	err := c.callWithRetry(ctx, r, &next)
 	return next.Value, err
 }
 
@@ -28,7 +28,7 @@
 // Get returns the current value of a key. The result reflects every put that was acknowledged before the call. If the key has no value, Get
 // returns ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (v Value, err error) {
-	err = c.do(ctx, request{method: http.MethodGet, path: "/api/Cells.Read/" + url.PathEscape(key)}, &v)
+	err = c.callWithRetry(ctx, request{method: http.MethodGet, path: "/api/Cells.Read/" + url.PathEscape(key)}, &v)
 	return v, err
 }
 
@@ -52,7 +52,7 @@
 
 func (c *Client) put(ctx context.Context, key string, body putBody) (uint64, error) {
 	var v Value
-	err := c.do(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
+	err := c.callWithRetry(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
 	return v.Revision, err
 }
 
@@ -74,6 +74,6 @@
 		Revision uint64  `json:"revision"`
 	}
 	r := request{method: http.MethodGet, path: "/api/watch/" + url.PathEscape(group) + query, wait: wait}
-	err := c.do(ctx, r, &result)
+	err := c.callWithRetry(ctx, r, &result)
 	return result.Events, result.Revision, err
 }
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -64,12 +64,12 @@
 		FencingToken uint64 `json:"fence"`
 	}
 	body := acquireBody{Holder: holder, TTL: formatMilliseconds(ttl)}
-	if err := c.do(attempts, request{method: http.MethodPost, path: lockPath("Begin", name), body: body}, &granted); err != nil {
+	if err := c.callWithRetry(attempts, request{method: http.MethodPost, path: lockPath("Begin", name), body: body}, &granted); err != nil {
 		return nil, err
 	}
 	s := &Session{client: c, name: name, holder: holder, ttl: ttl, fencingToken: granted.FencingToken}
 	s.ctx, s.cancel = context.WithCancelCause(ctx)
-	if !s.extend(expiresAt) {
+	if !s.extendLease(expiresAt) {
 		s.cancel(ErrLost)
 		return nil, ErrUnclear
 	}
@@ -92,8 +92,8 @@
 // the context that was passed to Lock.
 func (s *Session) Context() context.Context { return s.ctx }
 
-// extend moves the expiry of the lease to expiresAt. It returns false if the session has ended or would end at once.
-func (s *Session) extend(expiresAt time.Time) bool {
+// extendLease moves the expiry of the lease to expiresAt. It returns false if the session has ended or would end at once.
+func (s *Session) extendLease(expiresAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	timeLeft := time.Until(expiresAt.Add(-s.ttl / expiryMarginDivisor))
@@ -119,8 +119,8 @@
 		case <-ticker.C:
 		}
 		expiresAt := time.Now().Add(s.ttl) // measured from before the call is sent
-		err := s.renew()
-		isLost := errors.Is(err, ErrHeld) || err == nil && !s.extend(expiresAt)
+		err := s.sendRenewal()
+		isLost := errors.Is(err, ErrHeld) || err == nil && !s.extendLease(expiresAt)
 		if isLost {
 			s.cancel(ErrLost)
 			return
@@ -128,9 +128,9 @@
 	}
 }
 
-func (s *Session) renew() error {
+func (s *Session) sendRenewal() error {
 	body := renewBody{Holder: s.holder, FencingToken: s.fencingToken, TTL: formatMilliseconds(s.ttl)}
-	return s.client.do(s.ctx, request{method: http.MethodPost, path: lockPath("Heartbeat", s.name), body: body}, nil)
+	return s.client.callWithRetry(s.ctx, request{method: http.MethodPost, path: lockPath("Heartbeat", s.name), body: body}, nil)
 }
 
 // Finish ends the session and releases the lock, so that another holder can acquire it at once.
@@ -141,5 +141,5 @@
 	s.expiry.Stop()
 	s.mu.Unlock()
 	body := releaseBody{Holder: s.holder, FencingToken: s.fencingToken}
-	return s.client.do(ctx, request{method: http.MethodPost, path: lockPath("Finish", s.name), body: body}, nil)
+	return s.client.callWithRetry(ctx, request{method: http.MethodPost, path: lockPath("Finish", s.name), body: body}, nil)
 }
