--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -6,6 +6,7 @@
 )
 
 const (
+	// lapInterval is the duration of a lap (see the package comment).
 	lapInterval = 30 * time.Second
 	// proposalRetryInterval is the delay before the coordinator repeats a proposal that the log has not delivered.
 	proposalRetryInterval = time.Second
@@ -18,40 +19,45 @@
 // NodeID identifies a node by its slot number.
 type NodeID int
 
-// Coordinator evaluates the reports of all nodes and proposes entries for the replicated log. It runs on the core's leader. Another
-// coordinator with a higher fencing token may replace it at any time, because the next reports contain all the state that it needs.
+// Coordinator evaluates the reports of all nodes and proposes entries for the replicated log. It runs on the core's leader. A new
+// coordinator with a higher fencing token may replace it at any time, because the next report of each node contains all the data that the
+// new coordinator needs.
 type Coordinator struct {
 	actionQueue
 	now          time.Duration
 	fencingToken uint64
 	nodeCount    int
-	active       map[string]*activeRollout // by service
+	active       map[string]*activeRollout // by service name
 }
 
 // activeRollout is the coordinator's state of a running roll-out in its current step.
 type activeRollout struct {
 	Run
-	stepStart  time.Duration
-	lap        int
-	lapStart   time.Duration
-	proposedAt time.Duration
+	stepStart  time.Duration // time at which this coordinator learned of the step
+	lap        int           // number of the current lap, counted from 1
+	lapStart   time.Duration // time at which this coordinator started the lap or learned of it
+	proposedAt time.Duration // time of the last proposal
 	reports    map[nodeIncarnation]*receivedReport
-	// changed is true if the reports must be evaluated again.
+	// changed is true if the next Tick must evaluate the reports.
 	changed bool
 	// baselineBackends is the number of ready backends of the baseline, or unknownBackends.
 	baselineBackends int
 	// unconfigured is true if the configuration no longer contains the service.
 	unconfigured bool
-	suspicion    float64
+	// suspicion is the result of the last evaluation (see Counts). The coordinator does not advance while it is 1 or more.
+	suspicion float64
 }
 
+// unknownBackends is the value of baselineBackends while the number of backends is unknown.
 const unknownBackends = -1
 
+// nodeIncarnation identifies one incarnation of a node. The incarnation changes with each start of the node.
 type nodeIncarnation struct {
 	node        NodeID
 	incarnation uint64
 }
 
+// receivedReport is a report together with the findings that were decoded from its evidence.
 type receivedReport struct {
 	Report
 	found *findings
@@ -94,9 +100,9 @@
 	return a
 }
 
-// HandleReport stores a node's report. It ignores a report on another step, a report that is not newer than the stored report of the
-// same node incarnation, and a report of a further incarnation if maxReportsPerStep reports are stored. It returns an error if the
-// report's evidence cannot be decoded.
+// HandleReport stores a node's report. It ignores a report on another step and a report that is not newer than the stored report of the
+// same node incarnation. Once maxReportsPerStep reports are stored, it also ignores reports of further incarnations. It returns an error
+// if the report's evidence cannot be decoded.
 func (c *Coordinator) HandleReport(from NodeID, r Report) error {
 	a := c.active[r.Service]
 	if a == nil || a.Number != r.Number || a.Step != r.Step {
@@ -110,18 +116,20 @@
 	if err != nil {
 		return err
 	}
-	if r.Lap > a.lap { // an earlier coordinator started this lap
+	// A report can contain a later lap than this coordinator knows if an earlier coordinator started that lap.
+	if r.Lap > a.lap {
 		a.lap, a.lapStart = r.Lap, c.now
 	}
 	a.reports[key], a.changed = &receivedReport{r, decoded}, true
 	return nil
 }
 
-// SetNodeCount sets the number of nodes. If there are several nodes, the coordinator does not roll back on the reports of a single one.
+// SetNodeCount sets the number of nodes. If there are several nodes, the coordinator does not propose a rollback on the reports of only one
+// node.
 func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = n }
 
-// SetBaselineBackends sets how many backends of the baseline are ready (-1 if unknown), and whether the configuration still contains
-// the service.
+// SetBaselineBackends sets the number of ready backends of a service's baseline, or -1 if the number is unknown. configured says whether the
+// configuration still contains the service.
 func (c *Coordinator) SetBaselineBackends(service string, ready int, configured bool) {
 	if a := c.active[service]; a != nil {
 		a.baselineBackends, a.unconfigured = ready, !configured
@@ -139,6 +147,7 @@
 	return a.totalCounts(), a.suspicion
 }
 
+// totalCounts returns the sum of the counts of all reports in the current step.
 func (a *activeRollout) totalCounts() (sum Counts) {
 	for _, r := range a.reports {
 		sum.Add(&r.Report.Counts)
@@ -146,7 +155,8 @@
 	return sum
 }
 
-// Tick advances the clock, starts laps that are due and proposes the entries that the reports call for.
+// Tick advances the clock, starts the laps that are due and evaluates new reports. Depending on the result, it proposes a rollback, a pause
+// or the next step.
 func (c *Coordinator) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	for _, service := range sortedKeys(c.active) {
@@ -166,8 +176,8 @@
 	}
 }
 
-// collectFindings returns the findings of all reports, the nodes that reported, and the nodes that rolled back locally. Findings of another
-// lap count only in the window of the step.
+// collectFindings returns the findings of all reports, the nodes that reported, and the nodes that rolled back locally. If a report belongs
+// to another lap than the current one, its evidence for the lap window is left out.
 func (a *activeRollout) collectFindings() (list []*findings, reporting, rolledBack map[NodeID]bool) {
 	reporting, rolledBack = map[NodeID]bool{}, map[NodeID]bool{}
 	for key, r := range a.reports {
@@ -186,13 +196,15 @@
 	return list, reporting, rolledBack
 }
 
-// evaluateReports combines the findings of all nodes. It proposes a rollback if the score reaches 1 and the findings are not those of a single
-// node among several, or if at least two nodes have rolled back locally. If the baseline has no ready backend, it proposes a pause instead.
+// evaluateReports combines the findings of all nodes. It proposes a rollback if the score reaches 1, or if at least two nodes have rolled back
+// locally. The score does not count if only one of several nodes has sent reports. If the baseline has no ready backend, evaluateReports
+// proposes a pause instead of a rollback.
 func (c *Coordinator) evaluateReports(a *activeRollout) {
 	list, reporting, rolledBack := a.collectFindings()
 	score, suspicion := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
 	a.suspicion = suspicion
-	if len(rolledBack) > 0 { // a local rollback at one node is enough to prevent the next step
+	// A local rollback at one node is enough to prevent the next step.
+	if len(rolledBack) > 0 {
 		a.suspicion = max(suspicion, 1)
 	}
 	singleReporter := len(reporting) == 1 && c.nodeCount > 1
@@ -221,8 +233,8 @@
 	}
 }
 
-// propose queues a proposal for the replicated log. It proposes at most once per proposalRetryInterval and marks the roll-out as
-// changed, so that the next Tick repeats a proposal that the log has not delivered.
+// propose queues a proposal for the replicated log, at most one per proposalRetryInterval. It marks the roll-out as changed, so that a later
+// Tick evaluates the reports again and repeats a proposal that the log has not delivered.
 func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, why string) {
 	a.changed = true
 	if c.now-a.proposedAt < proposalRetryInterval {
--- a/internal/gateway/rollout/counter.go
+++ b/internal/gateway/rollout/counter.go
@@ -7,14 +7,15 @@
 	criteria       FailureCriteria
 	failureCauses  [causeCount]bool // causes that the criteria count as failures
 	counts         Counts
-	span           span
+	span           span // outcomes that are not yet part of the evidence
 	spanStart      time.Duration
 	evidence       evidence
-	latencyByRoute map[uint32]*quantileEstimate
-	canaryBackends map[uint64]struct{} // backends with at least one outcome
-	changed        bool                // outcomes were recorded after the last evaluation
+	latencyByRoute map[uint32]*quantileEstimate // latency quantile of the baseline, by Outcome.Route
+	canaryBackends map[uint64]struct{}          // backends of the canary with at least one outcome, up to maxBackends
+	changed        bool                         // outcomes were recorded after the last evaluation
 }
 
+// newStepCounter returns a counter without outcomes. Its first span starts now.
 func newStepCounter(criteria FailureCriteria, now time.Duration) *stepCounter {
 	s := &stepCounter{criteria: criteria, spanStart: now, evidence: newEvidence(), span: span{perBackend: map[uint64]*[testCount]uint32{}},
 		latencyByRoute: map[uint32]*quantileEstimate{}, canaryBackends: map[uint64]struct{}{}}
@@ -26,8 +27,8 @@
 	return s
 }
 
-// record counts an outcome in the tallies and in the failure tests. It also records the latency of a successful response, unless the
-// backend is warming up.
+// record counts an outcome in the tallies, in the failure test of all users and in the failure test of the tenant's group. It also records
+// the latency of a successful response, unless the backend is warming up.
 func (s *stepCounter) record(o Outcome) {
 	tally := &s.counts[o.Side][o.Kind]
 	tally.record(o.Cause)
@@ -46,8 +47,9 @@
 	s.recordLatency(o)
 }
 
-// recordLatency counts a response as slow or not, compared with the estimated latency quantile of the baseline on the same route. It
-// then updates the estimate with responses of the baseline.
+// recordLatency counts a response in the test of slow responses. A response is slow if its latency exceeds a limit that depends on the
+// estimated latency quantile of the baseline on the same route. A response of the baseline then updates this estimate. recordLatency does
+// not count responses on a route that has fewer than minQuantileSamples responses of the baseline.
 func (s *stepCounter) recordLatency(o Outcome) {
 	estimate := s.latencyByRoute[o.Route]
 	if estimate == nil {
@@ -84,7 +86,8 @@
 	failures := s.span.perBackend[o.Backend]
 	if failures == nil {
 		if _, known := s.evidence.perBackend[o.Backend]; !known && len(s.evidence.perBackend)+len(s.span.perBackend) >= maxBackends {
-			return // the failures of a backend above the limit cannot be excluded from the evidence
+			// Failures of backends above the limit are not counted by backend. evaluate therefore cannot exclude them.
+			return
 		}
 		failures = new([testCount]uint32)
 		s.span.perBackend[o.Backend] = failures
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -7,9 +7,9 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Decide returns the result that Apply would have for an entry, without a change to the state. The error says why the entry is not
-// accepted. A call that conflicts may be the repetition of a call that was applied so long ago that its ID is no longer stored. Decide
-// returns routing.Ambiguous for it.
+// Decide returns the result that Apply would have for an entry, but does not change the state. The error says why the entry is not accepted.
+// Decide returns routing.Ambiguous instead of routing.Conflict if the entry may repeat a call that was applied so long ago that the call's ID
+// is no longer stored.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	v, err := s.decide(e)
 	if v == routing.Conflict && s.mayHaveBeenApplied(e) {
@@ -21,24 +21,29 @@
 // IsCallApplied reports whether the call with an ID was applied and its ID is still stored.
 func (s *State) IsCallApplied(id string) bool { return id != "" && s.appliedCalls.Has(callDigest(id)) }
 
+// callDigest returns the digest under which a call ID is stored.
 func callDigest(id string) logentry.Digest { return logentry.DigestOf([]byte(id)) }
 
-// mayHaveBeenApplied reports whether an entry's call may have been applied although its ID is no longer stored.
+// mayHaveBeenApplied reports whether an entry's call may have been applied although its ID is no longer stored. The horizon is the highest
+// revision whose call ID may have been dropped. An entry that is based on a revision at or above the horizon cannot have created a dropped ID.
 func (s *State) mayHaveBeenApplied(e *Entry) bool {
 	horizon := s.appliedCalls.Horizon()
 	if e.CallID == "" || horizon == 0 || s.Run(e.Service) == nil {
 		return false
 	}
-	if e.Verb == Pause || e.Verb == Rollback { // these need not name a revision
+	// Pause and Rollback need not name a revision.
+	if e.Verb == Pause || e.Verb == Rollback {
 		return e.Number <= s.LastNumber
 	}
 	return e.Revision < horizon
 }
 
+// conflictResult returns routing.Conflict and an error for a field of the entry.
 func conflictResult(field, format string, args ...any) (routing.Result, error) {
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
+// decide returns the result of Decide, except that it returns routing.Conflict where Decide may return routing.Ambiguous.
 func (s *State) decide(e *Entry) (routing.Result, error) {
 	if s.IsCallApplied(e.CallID) {
 		return routing.Duplicate, nil
@@ -50,7 +55,8 @@
 	if e.Verb == Start {
 		return s.decideStart(e, r)
 	}
-	ignoresRevision := e.Verb == Rollback || e.Verb == Pause // these stay valid after any change to the roll-out
+	// Rollback and Pause stay valid after any change to the roll-out.
+	ignoresRevision := e.Verb == Rollback || e.Verb == Pause
 	switch {
 	case r == nil:
 		return conflictResult("service", "%q has no roll-out", e.Service)
@@ -74,6 +80,7 @@
 	return routing.Accepted, nil
 }
 
+// decideAdvance decides on an Advance entry for the running roll-out r.
 func decideAdvance(e *Entry, r *Run) (routing.Result, error) {
 	if e.Step != r.Step+1 || e.Step > len(r.Spec.Steps) {
 		return conflictResult("step", "is %d, but the current step is %d of %d", e.Step, r.Step, len(r.Spec.Steps))
@@ -84,9 +91,11 @@
 	return routing.Accepted, nil
 }
 
+// decideStart decides on a Start entry. r is the newest roll-out of the service, or nil if there is none.
 func (s *State) decideStart(e *Entry, r *Run) (routing.Result, error) {
 	spec := *e.Spec
-	if err := spec.Normalize(); err != nil { // Validate has already passed, so this call only sets the defaults
+	// Validate has already checked the spec, so this call only sets the defaults.
+	if err := spec.Normalize(); err != nil {
 		return routing.Invalid, err
 	}
 	current := uint64(0)
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -1,6 +1,6 @@
-// Package rollout moves the users of a service from one version to the next in steps, and rolls them back if the new version fails. This is
-// a canary release that is evaluated by a sequential statistical test instead of fixed thresholds. docs/rollouts.md describes the
-// statistics, the measured figures and the alternatives that were considered.
+// Package rollout moves the users of a service from one version to the next in steps, and moves them back if the new version fails. Such a
+// roll-out is a canary release. A sequential statistical test decides whether the new version fails, instead of fixed thresholds. docs/rollouts.md
+// describes the statistics, the measured figures and the alternatives that were considered.
 //
 // # Terms
 //
@@ -18,8 +18,8 @@
 // group of tenants, slow responses) and for each backend.
 //
 // A lap is an interval of 30 s for which evidence is gathered from zero, in addition to the evidence since the start of the step. The
-// coordinator starts each lap. Laps ensure that a version that fails after ten good minutes gets no credit for these minutes. A false
-// positive is a rollback of a good version.
+// coordinator starts each lap. Without laps, a version that fails after ten minutes without failures would be rolled back late, because the
+// evidence of these minutes is in its favor. A false positive is a rollback of a good version.
 //
 // # Parts
 //
@@ -47,10 +47,10 @@
 //
 // # Constraints
 //
-// The package does no I/O, reads no clock and uses no random numbers. The host passes the time to Tick, and calls Next for the messages to
-// send, the entries to propose and the events to log. A user must not be sent to a running canary before this incarnation of the node has
+// The package does no I/O, reads no clock and uses no random numbers. The host is the part of the gateway node that calls this package. The
+// host passes the time to Tick, and calls Next for the messages to send, the entries to propose and the events to log. A user must not be sent to a running canary before this incarnation of the node has
 // been connected to the core (SetConnected). A request must not move from the baseline to the canary (MayAttempt). The types are not
-// safe for concurrent use. A node calls them from its event loop.
+// safe for concurrent use. The host calls them from the node's event loop.
 //
 // # Stored and sent names
 //
--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -32,16 +32,16 @@
 	// Revision is the revision of the service's newest roll-out that an operator's entry is based on, or 0 if there was none. Pause and
 	// Rollback do not need it.
 	Revision uint64
-	// Number is the roll-out that the entry applies to. Start does not use it.
+	// Number identifies the roll-out that the entry applies to. Start does not use Number.
 	Number Number
-	// Step counts from 1. It is the step to advance to, or else the step that the coordinator evaluated.
+	// Step is the step to advance to in an Advance entry, and otherwise the step that the coordinator evaluated. Steps count from 1.
 	Step int
 	// FencingToken is the coordinator's fencing token, 1 or more. It is 0 in an operator's entry.
 	FencingToken uint64
-	Spec         *Spec
-	// Capacity is set for Start. It is the capacity known to the node that received the call.
+	Spec         *Spec // only for Start
+	// Capacity is set only for Start. It is the capacity of the service's backends as known to the node that received the call.
 	Capacity Capacity
-	// Counts are the outcomes of the step that the coordinator knows so far.
+	// Counts holds the outcomes of the current step that had been reported to the coordinator when it proposed the entry.
 	Counts Counts
 }
 
@@ -50,8 +50,11 @@
 
 // Errors of Entry.Validate.
 var (
+	// ErrTextTooLong means that a text field is longer than maxTextBytes.
 	ErrTextTooLong = errors.Errorf("text field of a roll-out entry is longer than %d bytes", maxTextBytes)
-	ErrNoSpec      = errors.New("order: missing, or for another service")
+	// ErrNoSpec means that a Start entry has no spec, has a spec for another service, or has a fencing token, which only a coordinator's
+	// entries have. The field is called order in the API.
+	ErrNoSpec = errors.New("order: missing, or for another service")
 )
 
 // isFromCoordinator reports whether a coordinator proposed the entry.
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -18,12 +18,12 @@
 
 // Fractions of the initial stake for the tests. They add up to 1.
 const (
-	overallStake  = 0.15 // failures of each kind of request
-	latencyStake  = 0.10 // slow responses of each kind of request
-	groupStake    = 0.25 / (2 * tenantGroups)
-	allZonesStake = 0.25 // failures by zone, for all zones together
-	zoneStake     = allZonesStake / (2 * maxZones)
-	maxZones      = 8
+	overallStake  = 0.15                           // failures of each kind of request
+	latencyStake  = 0.10                           // slow responses of each kind of request
+	groupStake    = 0.25 / (2 * tenantGroups)      // failures of each kind of request in each group of tenants
+	allZonesStake = 0.25                           // failures by zone, for all zones together
+	zoneStake     = allZonesStake / (2 * maxZones) // failures of each kind of request in each zone
+	maxZones      = 8                              // number of zones with bets of their own
 )
 
 // stakeOf returns the fraction of the initial stake with which the bets of a test start.
@@ -40,10 +40,10 @@
 // findings holds the evidence that one incarnation of a node gathered in a step.
 type findings struct {
 	*evidence
-	node           NodeID // several findings may be of the same node, one for each incarnation
-	zone           string
-	canaryBackends int  // backends of the canary with at least one outcome at this node
-	excluded       bool // not counted, to check whether a decision depends on one node
+	node           NodeID // a node with several incarnations has several findings
+	zone           string // zone of the node
+	canaryBackends int    // number of backends of the canary with at least one outcome at this node
+	excluded       bool   // totalWealth skips these findings, to check whether a decision depends on one node
 }
 
 // logWealthWithout returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend is 0, the
@@ -93,17 +93,18 @@
 	for _, zone := range zones {
 		total += zoneStake * (mixtureWealth(&zone[0]) + mixtureWealth(&zone[1]))
 	}
-	return total + max(0, allZonesStake-2*zoneStake*float64(len(zones))) // the stakes of unused zones are part of no bet and do not change
+	// The stakes that are reserved for further zones belong to no bet, so they count unchanged.
+	return total + max(0, allZonesStake-2*zoneStake*float64(len(zones)))
 }
 
-// Limits of the logarithm of wealth. Wealth below minLogWealth counts as 0. Wealth above maxLogWealth is capped, because it could
-// exceed the range of a float64.
+// Limits of the logarithm of wealth. If the logarithm is at most minLogWealth, the wealth counts as 0. A logarithm above maxLogWealth is
+// replaced by maxLogWealth, because the wealth could exceed the range of a float64.
 const (
 	minLogWealth = -30
 	maxLogWealth = 600
 )
 
-// mixtureWealth returns the mean wealth of the bets on all ratios, given the logarithms of their wealth.
+// mixtureWealth returns the mean wealth of the bets on all ratios, given the logarithm of the wealth of each bet.
 func mixtureWealth(logs *[ratioCount]float64) (sum float64) {
 	if *logs == ([ratioCount]float64{}) {
 		return 1
@@ -121,8 +122,8 @@
 // rolled back. The suspicion is the total wealth divided by suspicionWealth. If the suspicion is 1 or more, the roll-out does not advance to
 // the next step. Each result is the larger one of the values for the two windows.
 //
-// The score must reach 1 also if the failures of any one backend or the findings of any one node are left out, because a fault of one
-// machine is not a fault of the version. Each of the two windows gets half of the false positive rate. Within a window, the k-th step or
+// evaluate also computes the score without the failures of each single backend and without the findings of each single node, and returns the
+// lowest score. A fault of one machine is not a fault of the version. Each of the two windows gets half of the false positive rate. Within a window, the k-th step or
 // lap gets the fraction 1/(k(k+1)) of that half.
 func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, suspicion float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -8,8 +8,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Indexes of the tests that compare both versions in a step. For each kind of request there is a test of the failures of all users and
-// one for each group of tenants. The tests of slow responses, one for each kind of request, come last.
+// Indexes of the tests that compare both versions in a step. For each kind of request, the first test compares the failures of all users,
+// and the next tenantGroups tests compare the failures of one group of tenants each. The tests of slow responses, one for each kind of
+// request, come last.
 const (
 	tenantGroups = 16 // a tenant's group is chosen by a hash
 	failureTests = 1 + tenantGroups
@@ -18,9 +19,9 @@
 )
 
 const (
-	ratioCount  = 4
-	windowCount = 2
-	maxBackends = 32 // backends of the canary that one node's evidence distinguishes
+	ratioCount  = 4  // number of failureRatios
+	windowCount = 2  // number of windows: stepWindow and lapWindow
+	maxBackends = 32 // maximum number of the canary's backends for which one node keeps separate evidence
 )
 
 // Windows over which evidence is added up.
@@ -32,8 +33,8 @@
 // failureRatios are the assumed ratios of the canary's failure rate to the baseline's failure rate. Each test has one bet for each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. Each bet counts with a stake of 1 here. The totalWealth
-// function multiplies the result by the stakes.
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. The initial wealth of each
+// bet is 1 here. The function totalWealth multiplies the wealth by the actual stakes.
 type logWealth [testCount][ratioCount]float64
 
 // evidence is the evidence against the canary for each window, in nats (units of the natural logarithm). perBackend is the part that comes
@@ -43,9 +44,11 @@
 	perBackend map[uint64]*[windowCount]logWealth
 }
 
+// newEvidence returns evidence without outcomes.
 func newEvidence() evidence { return evidence{perBackend: map[uint64]*[windowCount]logWealth{}} }
 
-// ensureBackend returns the part of the evidence that comes from one backend's failures. It adds an empty part if there is none.
+// ensureBackend returns the part of the evidence that comes from the failures of a backend. It first adds an empty part if the backend has
+// none.
 func (e *evidence) ensureBackend(id uint64) *[windowCount]logWealth {
 	wealth := e.perBackend[id]
 	if wealth == nil {
@@ -63,8 +66,8 @@
 	shortSpanOutcomes = 10 // outcomes of the canary
 )
 
-// span counts the outcomes of one time span at one node. They are compared only with each other, so that a fault that affects both sides
-// in this span at this node cancels out.
+// span counts the outcomes of one time span at one node. Outcomes are compared only with outcomes of the same span and node, so that a fault
+// that affects both sides in this span at this node cancels out.
 type span struct {
 	outcomes, failures [2][testCount]uint32 // by Side and test
 	perBackend         map[uint64]*[testCount]uint32
@@ -159,14 +162,14 @@
 	return b
 }
 
-// Errors of decoding evidence.
+// Errors of decodeEvidence.
 var (
 	ErrMalformedEvidence = errors.New("decode evidence: malformed record header")
 	ErrTruncatedEvidence = errors.New("decode evidence: truncated record")
 	ErrTooManyBackends   = errors.New("decode evidence: too many backends")
 )
 
-// decodeEvidence decodes the result of encode.
+// decodeEvidence decodes the result of evidence.encode.
 func decodeEvidence(b []byte) (*evidence, error) {
 	e := newEvidence()
 	for len(b) > 0 {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -17,18 +17,18 @@
 	incarnation   uint64
 	everConnected bool // this incarnation has been connected to the core
 	disconnected  bool
-	rollouts      map[string]*localRollout // by service
+	rollouts      map[string]*localRollout // by service name
 }
 
 // localRollout is a node's view of one roll-out.
 type localRollout struct {
 	Run
-	salt uint64
+	salt uint64 // result of hashSalt for this roll-out
 	// rolledBack is true once this node has rolled back locally. It stays true for the rest of this incarnation.
 	rolledBack        bool
 	counter           *stepCounter // nil if the roll-out is not running
-	lap               int
-	seq               uint64 // sequence number of the last report
+	lap               int          // number of the current lap, counted from 1
+	seq               uint64       // sequence number of the last report
 	reportedAt        time.Duration
 	unreported        bool // counts have changed since the last report
 	reportImmediately bool // the next report does not wait for reportInterval
@@ -65,7 +65,7 @@
 	}
 }
 
-// resetCounter starts new counts and evidence. It keeps the latency estimates.
+// resetCounter replaces the counter by one without counts and evidence. The new counter takes over the latency estimates.
 func (l *localRollout) resetCounter(now time.Duration) {
 	previous := l.counter
 	l.counter = newStepCounter(l.Spec.Failing, now)
@@ -111,10 +111,11 @@
 // HasRollouts reports whether this node knows of any roll-out.
 func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
 
-// BackendSide returns the side of a backend with a generation from its heartbeats. A backend that does not have the canary's generation is
-// on the baseline. Once a roll-out is finished, a backend that does not have the baseline's generation is on the canary, because a third
-// version may follow without another roll-out. The rule for a finished roll-out does not apply at a node that has never been connected. That
-// node may not know of a newer roll-out that tests the third version or that has rolled the third version back.
+// BackendSide returns the side of a backend. The generation is the version that the backend sends in its heartbeats. A backend with the
+// canary's generation is on the canary, and every other backend is on the baseline. Once a roll-out is finished, a backend with a third
+// generation is also on the canary, because a third version may follow without another roll-out. The rule for a third generation does not
+// apply at a node that has never been connected to the core. Such a node may not know of a newer roll-out that tests the third version or
+// that has rolled the third version back.
 func (n *Node) BackendSide(service, generation string) Side {
 	local := n.rollouts[service]
 	switch {
@@ -158,7 +159,7 @@
 	}
 }
 
-// RecordOutcome records the outcome of a compared request. The number is that of the roll-out that was running when the request started.
+// RecordOutcome records the outcome of a compared request. The number identifies the roll-out that was running when the request started.
 // RecordOutcome ignores the outcome if that roll-out no longer runs, or if the outcome has no backend or an unknown cause.
 func (n *Node) RecordOutcome(service string, number Number, o Outcome) {
 	if local := n.rollouts[service]; local != nil && local.Number == number && local.counter != nil && o.Cause < causeCount && o.Backend != 0 {
@@ -175,7 +176,7 @@
 	return 0
 }
 
-// NextDeadline returns the next time at which Tick has work to do, and false if no roll-out runs.
+// NextDeadline returns the earliest time at which a span ends and Tick has work to do. ok is false if no roll-out runs.
 func (n *Node) NextDeadline() (at time.Duration, ok bool) {
 	for _, local := range n.rollouts {
 		if local.counter != nil && (!ok || local.counter.spanEnd() < at) {
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -9,7 +9,7 @@
 // Kind is the kind of a request.
 type Kind uint8
 
-// The kinds of requests. A read may be executed more than once, a write at most once.
+// The kinds of requests. A read may be executed more than once. A write must be executed at most once.
 const (
 	Read Kind = iota
 	Write
@@ -39,8 +39,8 @@
 	Kind Kind
 	// Route is a number that this node assigns to the route. Latencies are estimated for each route.
 	Route     uint32
-	Tenant    uint32 // same number at every node
-	Backend   uint64 // same number at every node, not 0
+	Tenant    uint32 // number of the tenant, the same at every node
+	Backend   uint64 // number of the backend, the same at every node and never 0
 	Cause     Cause
 	Latency   time.Duration // time from sending the request to the complete response
 	WarmingUp bool          // the backend is in slow start, so its latency is not compared
@@ -69,6 +69,7 @@
 	}
 }
 
+// add adds the counts of other to t.
 func (t *Tally) add(other *Tally) {
 	t.Outcomes += other.Outcomes
 	for i := range t.ByCause {
@@ -85,7 +86,7 @@
 	t.ByCause[cause]++
 }
 
-// recordLatency counts a response in the bucket of its latency.
+// recordLatency increments the latency bucket to which a response with the given latency belongs.
 func (t *Tally) recordLatency(latency time.Duration) {
 	bucket := int(math.Ceil(2 * math.Log2(latency.Seconds()*1000)))
 	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
@@ -107,7 +108,8 @@
 	return 0
 }
 
-// failureCount returns the number of outcomes that are a fault of the version, independent of the FailureCriteria.
+// failureCount returns the number of outcomes with the cause ServerError, NoResponse or InvalidResponse. It does not depend on the
+// FailureCriteria.
 func (t *Tally) failureCount() uint32 {
 	return t.ByCause[ServerError] + t.ByCause[NoResponse] + t.ByCause[InvalidResponse]
 }
--- a/internal/gateway/rollout/quantile.go
+++ b/internal/gateway/rollout/quantile.go
@@ -5,15 +5,16 @@
 // quantileEstimate estimates a quantile of the baseline's latency on one route. A latency above the estimate raises the estimate. Any other
 // latency lowers the estimate. The steps are weighted so that the estimate converges to the quantile.
 type quantileEstimate struct {
-	seconds float64
-	samples int
+	seconds float64 // current estimate
+	samples int     // number of observed responses
 }
 
 const (
-	minQuantileSamples = 20   // responses needed before the estimate is used
-	minQuantileStep    = 0.04 // relative step; the first steps are larger
-	maxQuantileRoutes  = 512
-	latencySlack       = 0.010 // seconds that are always tolerated, for a backend in another zone or a new connection
+	minQuantileSamples = 20   // number of responses needed before the estimate is used
+	minQuantileStep    = 0.04 // smallest relative change per response; the first changes are larger
+	maxQuantileRoutes  = 512  // maximum number of routes with an estimate; latencies of further routes are not compared
+	// latencySlack is the additional latency in seconds that is always tolerated. A backend in another zone or a new connection can cause it.
+	latencySlack = 0.010
 )
 
 // observe updates the estimate with the latency of a response in seconds. The quantile is between 0 and 1.
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -12,16 +12,15 @@
 	Lap            int
 	Incarnation    uint64 // incarnation of the node, a random number
 	Seq            uint64 // increases with each report of the incarnation
-	Zone           string
-	RolledBack     bool // the node has rolled back locally
-	CanaryBackends int  // backends of the canary with at least one outcome at the node
+	Zone           string // zone of the node
+	RolledBack     bool   // the node has rolled back locally
+	CanaryBackends int    // number of backends of the canary with at least one outcome at the node
 	Counts         Counts
-	Evidence       []byte
+	Evidence       []byte // result of evidence.encode
 }
 
-// Lap is the coordinator's message that a new lap of a roll-out has started. A lap is an interval of 30 s for which evidence is gathered
-// from zero, in addition to the evidence since the start of the step. A version that fails after ten good minutes must not get credit for
-// these minutes. Lap is sent between nodes with gob, so its field names must not change.
+// Lap is the coordinator's message that a new lap of a roll-out has started. Its field Lap is the number of the lap, counted from 1. A lap is an interval of 30 s for which evidence is gathered
+// from zero, in addition to the evidence since the start of the step. The package comment explains why laps are needed. Lap is sent between nodes with gob, so its field names must not change.
 type Lap struct {
 	Service string
 	Number  Number
--- a/internal/gateway/rollout/side.go
+++ b/internal/gateway/rollout/side.go
@@ -35,15 +35,16 @@
 	return state
 }
 
-// hashSalt returns the hash state of a roll-out. It differs between roll-outs, so that each of them starts with other users.
+// hashSalt returns the initial hash state for the users of a roll-out. The state differs between roll-outs, so that each roll-out starts
+// with other users.
 func hashSalt(service string, n Number) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
 	return fnv1a(fnv1a(fnvOffset, service), b[:])
 }
 
-// mixBits makes each bit of the result depend on all bits of h. Without it, the upper bits of FNV hashes are similar for texts that differ
-// little at the end. It uses the shifts and multipliers of the MurmurHash3 finalizer by Appleby.
+// mixBits makes each bit of the result depend on all bits of h. Without mixBits, the upper bits of FNV hashes are similar for texts
+// that differ only in the last bytes. mixBits uses the shifts and multipliers of the MurmurHash3 finalizer by Appleby.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
@@ -51,7 +52,7 @@
 }
 
 // userPosition returns the position of a user among all users, from 0 to FullShare-1. The position does not depend on the share, so a
-// user on the canary stays there while the share grows. It is the same at every node.
+// user on the canary stays there while the share grows. The position is the same at every node.
 func userPosition(salt uint64, user []byte) int {
 	hi, _ := bits.Mul64(mixBits(fnv1a(salt, user)), FullShare)
 	return int(hi)
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -21,20 +21,22 @@
 	nodes       []*Node
 	coordinator *Coordinator
 	state       *State
-	// rate is the number of requests per second over all nodes. Three in ten are writes.
+	// rate is the number of requests per second over all nodes. Three of ten requests are writes.
 	rate float64
 	// failureRate is the fraction of requests that fails on both sides.
-	failureRate   float64
-	backendSpeed  map[uint64]float64
-	commonFactors func(now time.Duration) (fails, slower float64) // factors for both sides
-	fault         func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
-	now           time.Duration
+	failureRate  float64
+	backendSpeed map[uint64]float64 // latency factor of each backend
+	// commonFactors returns the factors by which the failure rate and the latency of both sides are multiplied.
+	commonFactors func(now time.Duration) (fails, slower float64)
+	// fault returns the failure rate that is added for a request, and a factor on its latency.
+	fault func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
+	now   time.Duration
 
-	canaryRequests, canaryFailures int // requests sent to the canary, and those that failed there
-	lostReportsOfSeven             int // average number of lost reports out of seven
-	evidenceBytes                  int
-	rollbackReason                 string
-	localRollbacks                 int
+	canaryRequests, canaryFailures int    // number of requests sent to the canary, and number of these requests that failed
+	lostReportsOfSeven             int    // average number of lost reports out of seven sent ones
+	evidenceBytes                  int    // size of the evidence in all reports
+	rollbackReason                 string // empty until the coordinator rolls back
+	localRollbacks                 int    // number of local rollbacks at all nodes
 }
 
 const (
@@ -42,6 +44,7 @@
 	tick                                     = 250 * time.Millisecond
 )
 
+// newSimulation returns a simulation with a started roll-out and connected nodes. The rate is in requests per second over all nodes.
 func newSimulation(seed int64, nodes int, rate float64, spec *Spec) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), rate: rate, failureRate: 0.004, state: NewState(),
 		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, lostReportsOfSeven: 1}
@@ -64,6 +67,7 @@
 	return sim
 }
 
+// applyState passes the replicated state to the coordinator and to all nodes.
 func (s *simulation) applyState() {
 	s.coordinator.ApplyState(s.state)
 	for _, node := range s.nodes {
@@ -115,6 +119,7 @@
 	}
 }
 
+// simulateRequest simulates one request of a random user at a node and records its outcome.
 func (s *simulation) simulateRequest(nodeIndex int, n *Node, failureFactor, latencyFactor float64) {
 	user := s.rng.Intn(4000)
 	name := binary.LittleEndian.AppendUint16(nil, uint16(user))
@@ -146,7 +151,8 @@
 	}
 }
 
-// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps, with the usual faults of a site.
+// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps. Each roll-out may have a random fault that is not
+// caused by the version.
 func TestGoodVersionIsNotRolledBack(t *testing.T) {
 	t.Parallel()
 	const runs = 1000
@@ -182,7 +188,7 @@
 	must.GreaterEq(t, runs*8/10, finished)
 }
 
-// injectRandomFault adds one kind of fault at random, or none. The kinds are a period with more failures and higher latency on both sides, a
+// injectRandomFault adds a fault of a random kind, or none. The kinds are a period with more failures and higher latency on both sides, a
 // backend that crashes, a backend that is faulty all the time, and a zone whose nodes have network problems.
 func injectRandomFault(sim *simulation) {
 	faultStart := time.Duration(5+sim.rng.Intn(30)) * time.Second
@@ -197,7 +203,7 @@
 			}
 			return 1, 1
 		}
-	case 1: // requests that the load balancer still sends to a crashed backend
+	case 1: // a backend crashes, and the load balancer sends requests to it for another second
 		sim.fault = func(now time.Duration, e *Outcome, _, _ int) (float64, float64) {
 			if e.Backend == faultyBackend && active(now, time.Second) {
 				return 1, 1
@@ -247,21 +253,21 @@
 		fault fault
 		most  time.Duration // documented limit of the median time to the rollback
 	}{
-		{"all writes, one in five", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
-		{"all writes, one in five", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
-		{"all writes, one in five", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
-		{"all writes, one in five", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
-		{"all writes, one in five", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
-		{"everything, wrong bytes", 100, 350, failsWhen(1, 1, everything), 6 * time.Second},
-		{"everything, wrong bytes", 5000, 350, failsWhen(1, 1, everything), 3 * time.Second},
-		{"one in 200", 2500, 3500, failsWhen(.005, 1, everything), 90 * time.Second},
-		{"one in 50", 2500, 350, failsWhen(.02, 1, everything), 40 * time.Second},
-		{"one tenant of eight, half", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
-		{"one zone of three, one in five", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
-		{"twice as slow", 1000, 350, failsWhen(0, 2, everything), 45 * time.Second},
-		{"three times as slow", 1000, 350, failsWhen(0, 3, everything), 15 * time.Second},
-		{"only when cold, one in five", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
-		{"after ten minutes, one in five", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
+		{"1 in 5 writes fails", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
+		{"1 in 5 writes fails", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
+		{"1 in 5 writes fails", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
+		{"1 in 5 writes fails", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
+		{"1 in 5 writes fails", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
+		{"all requests fail", 100, 350, failsWhen(1, 1, everything), 6 * time.Second},
+		{"all requests fail", 5000, 350, failsWhen(1, 1, everything), 3 * time.Second},
+		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, everything), 90 * time.Second},
+		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, everything), 40 * time.Second},
+		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
+		{"1 zone of 3: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
+		{"latency doubled", 1000, 350, failsWhen(0, 2, everything), 45 * time.Second},
+		{"latency tripled", 1000, 350, failsWhen(0, 3, everything), 15 * time.Second},
+		{"during warm-up: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
+		{"after 10 minutes: 1 in 5 fails", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
 	} {
 		const runs = 5
 		var took []time.Duration
@@ -285,7 +291,8 @@
 		slices.Sort(took)
 		slices.Sort(requests)
 		slices.Sort(failures)
-		t.Logf("%-30s | %2d %% | %4.0f/s | %4.1f s, %4.1f s | %4d, %4d | %3d | local rollbacks %d", c.name, c.share/100, c.rate,
+		t.Logf("%-30s | share %2d %% | %4.0f/s | time median %4.1f s, max %4.1f s | requests median %4d, max %4d | failures median %3d | local rollbacks %d",
+			c.name, c.share/100, c.rate,
 			took[2].Seconds(), took[4].Seconds(), requests[2], requests[4], failures[2], localRollbacks)
 		if took[2] > c.most {
 			t.Errorf("%s: median time to the rollback is %v, which is above the limit", c.name, took[2])
@@ -293,8 +300,8 @@
 	}
 }
 
-// Guards against counts that depend on the order of reports. A coordinator receives reports that are lost, duplicated and reordered in
-// every way, and counts each outcome once. A new coordinator has all counts after one more report of each node.
+// Guards against counts that depend on the order of reports. A coordinator receives every subset of the reports in every order, and each
+// report twice. It must count each outcome once. A new coordinator must have all counts after the last report of each node.
 func TestReportOrderDoesNotChangeCounts(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(1, 2, 400, testSpec(5000))
@@ -351,8 +358,8 @@
 	must.Error(t, coordinator.HandleReport(1, broken))
 }
 
-// Guards against a rollback by all nodes on the evidence of one faulty node. The rollback must not occur while only this node has sent
-// reports, even if the reports come from several incarnations of this node.
+// Guards against a rollback by all nodes on the evidence of one faulty node. The coordinator must not propose a rollback while only this node
+// has sent reports, even if the reports come from several incarnations of this node.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(5000), 0, "")
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -87,6 +87,8 @@
 	return nil
 }
 
+// setDefaults sets the fields that have no value. If Causes is not set, Extra is raised to at least its default. If Causes is
+// set, Extra stays as it is.
 func (s *Spec) setDefaults() {
 	defaults, criteria := DefaultFailureCriteria(), &s.Failing
 	if len(criteria.Causes) == 0 {
@@ -104,12 +106,12 @@
 }
 
 // Capacity is the capacity of a service's backends in concurrent requests, by version. PeakInUse is the highest number of requests that
-// were in progress at the same time. If it is unknown (0), CheckCapacity assumes defaultUtilization of the total capacity.
+// were in progress at the same time, or 0 if unknown. If it is unknown, CheckCapacity assumes defaultUtilization of the total capacity.
 type Capacity struct{ Baseline, Canary, PeakInUse int }
 
 const (
-	spareFactor        = 1.25 // required ratio of capacity to peak use
-	defaultUtilization = 0.7  // assumed peak use as a fraction of the total capacity if it is unknown
+	spareFactor        = 1.25 // required ratio of a version's capacity to its expected peak use
+	defaultUtilization = 0.7  // peak use as a fraction of the total capacity, assumed if PeakInUse is unknown
 )
 
 // CheckCapacity returns an error if the baseline does not have the capacity to take all users back at any time, or if the canary does
@@ -130,12 +132,14 @@
 	}
 	last := len(s.Steps) - 1
 	if required := peakInUse * spareFactor * float64(s.Steps[last].Share) / FullShare; float64(c.Canary) < required {
-		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d concurrent requests, but this share needs %.0f", s.New, c.Canary, required)
+		return logentry.FieldErrorf(fmt.Sprintf("steps[%d].share", last), "%s has room for %d concurrent requests, but this share needs %.0f",
+			s.New, c.Canary, required)
 	}
 	return nil
 }
 
-// CheckReferences returns an error if the spec names a service, route, tenant or zone that the configuration in force does not contain.
+// CheckReferences returns an error if the spec names a service, route, tenant or zone that the configuration in force does not contain. Each
+// argument is a function that reports whether the configuration contains an object of that type with the given name.
 func (s *Spec) CheckReferences(service, route, tenant, zone func(string) bool) error {
 	if !service(s.Service) {
 		return logentry.FieldErrorf("service", "no %q in the configuration", s.Service)
@@ -152,7 +156,7 @@
 	return nil
 }
 
-// minTime returns the minimum duration of the step.
+// minTime returns MinTime as a time.Duration.
 func (s Step) minTime() time.Duration { return time.Duration(s.MinTime) }
 
 // String returns a summary with the service, both versions and the number of steps.
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -19,8 +19,8 @@
 	Finished   Phase = "finished"
 )
 
-// HistoryEntry records the effect of one log entry on a roll-out. Counts holds the outcomes of the step that the entry ended, as the
-// coordinator last knew them.
+// HistoryEntry records the effect of one log entry on a roll-out. Step is the step before the log entry, and Share is the share after it.
+// Counts holds the outcomes of that step that had been reported to the coordinator.
 type HistoryEntry struct {
 	Verb      Verb
 	Step      int
@@ -38,7 +38,7 @@
 	Spec     Spec
 	Capacity Capacity
 	Phase    Phase
-	Step     int  // from 1
+	Step     int  // current step, counted from 1
 	Paused   bool // the coordinator does not start the next step
 	History  []HistoryEntry
 }
@@ -56,19 +56,19 @@
 
 // Limits on the size of the state.
 const (
-	maxServices = 64
-	maxEnded    = 32 // earlier roll-outs of all services
+	maxServices = 64 // services with a roll-out
+	maxEnded    = 32 // earlier roll-outs of all services together
 	maxHistory  = 48 // history entries of one roll-out
 )
 
 // State is the replicated state of all roll-outs. It results from the entries of the replicated log and is the same at all nodes.
 type State struct {
-	LastNumber   Number // number of the newest roll-out of all services
-	Revision     uint64 // increases with each accepted entry
-	fencingToken uint64 // highest token in an accepted entry
-	runs         []Run  // newest roll-out of each service, sorted by service
-	ended        []Run  // earlier roll-outs, oldest first
-	appliedCalls *logentry.DedupWindow
+	LastNumber   Number                // number of the newest roll-out of all services
+	Revision     uint64                // increases with each accepted entry
+	fencingToken uint64                // highest token in an accepted entry
+	runs         []Run                 // newest roll-out of each service, sorted by service
+	ended        []Run                 // earlier roll-outs, oldest first
+	appliedCalls *logentry.DedupWindow // digests of the IDs of applied calls, by the revision that each call created
 }
 
 // NewState returns the state before the first entry.
@@ -93,6 +93,7 @@
 // HasRollouts reports whether any roll-out is running, or has ended and is still in force.
 func (s *State) HasRollouts() bool { return len(s.runs) > 0 }
 
+// findRun returns the index of a service's newest roll-out in s.runs. If there is none, it returns the index to insert one at and false.
 func (s *State) findRun(service string) (int, bool) {
 	return slices.BinarySearchFunc(s.runs, service, func(r Run, name string) int {
 		return strings.Compare(r.Spec.Service, name)
@@ -144,8 +145,10 @@
 	s.runs[i] = r
 }
 
+// addHistory appends a history entry. If the history is full, it removes the oldest entry after the first one. The first entry records the
+// operator's start and is always kept.
 func (r *Run) addHistory(h HistoryEntry) {
-	if len(r.History) == maxHistory { // the first entry, the operator's start, is kept
+	if len(r.History) == maxHistory {
 		r.History = slices.Delete(r.History, 1, 2)
 	}
 	r.History = append(r.History, h)
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -15,6 +15,7 @@
 	"clovergap/internal/gateway/routing"
 )
 
+// testSpec returns a spec that advances by time, with one step for each share in basis points.
 func testSpec(shares ...int) *Spec {
 	spec := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
 	for _, share := range shares {
@@ -27,7 +28,7 @@
 	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
 
-// Guards against an error for an invalid spec, a lack of capacity or an unknown reference that does not name the field.
+// Guards against error messages that do not name the field. The errors are for an invalid spec, a lack of capacity and an unknown reference.
 func TestSpecErrorsNameTheirField(t *testing.T) {
 	var spec Spec
 	must.NoError(t, json.Unmarshal([]byte(`{"service":"libro","old":"v1","new":"v2",
@@ -68,11 +69,12 @@
 	}
 	for n := range Number(5) {
 		for i, got := range testSpec(shares...).CountCanaryUsers(n, names) {
-			p := float64(shares[i]) / FullShare // the documented deviation is that of independent choices for each user
+			// The documented deviation is that of independent random choices for each user. The limit is five standard deviations plus 5.
+			p := float64(shares[i]) / FullShare
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
 	}
-	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // not connected with each other
+	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // the nodes exchange no messages
 	s := NewState()
 	onCanary := make([]bool, users)
 	for step := range shares {
@@ -101,7 +103,7 @@
 	must.True(t, MayAttempt(Canary, Baseline) && MayAttempt(Canary, Canary) && MayAttempt(Baseline, Baseline) && !MayAttempt(Baseline, Canary))
 }
 
-// Guards against errors that a caller can distinguish only by their text.
+// Guards against errors that a caller can distinguish only by their text. Each error must match its exported variable or type.
 func TestErrorsAreTyped(t *testing.T) {
 	spec := testSpec(500, 100)
 	var field *logentry.FieldError
@@ -123,7 +125,7 @@
 	}
 }
 
-// Guards against invariants that depend on the order of entries. It applies seven entries of two operators and two coordinators in every
+// Guards against an order of entries that breaks an invariant. It applies seven entries of two operators and two coordinators in every
 // order. An ended roll-out must not run again. An entry of an old roll-out or coordinator must not change a newer roll-out. A repeated
 // call must not be applied twice.
 func TestEntryOrderKeepsInvariants(t *testing.T) {
@@ -222,8 +224,8 @@
 	must.Error(t, err)
 }
 
-// Guards against a node that sends users to the canary without knowledge of a rollback. A node that was never connected uses a share of 0.
-// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
+// Guards against a node that sends users to the canary because it does not know of a rollback. A node that was never connected uses a share
+// of 0.// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
 // rollback.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
@@ -236,7 +238,8 @@
 	must.NoError(t, err)
 	user := []byte("someone")
 	node := NewNode("a", 1, 0)
-	node.ApplyState(s) // state from the node's disk; the roll-out may have been rolled back in the meantime
+	// The node starts with the state on its disk. The roll-out may have been rolled back since that state was written.
+	node.ApplyState(s)
 	must.True(t, node.CanaryShare("libro") == 0 && node.IsCanaryExcluded("libro"))
 	node.SetConnected(true)
 	must.Eq(t, 9000, node.CanaryShare("libro"))
@@ -262,7 +265,8 @@
 	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
 	must.NoError(t, applyAll(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
-	for i, want := range []Side{Baseline, Canary} { // another roll-out may have rolled back the third version
+	// A third version is on the baseline at a node that was never connected, because another roll-out may have rolled that version back.
+	for i, want := range []Side{Baseline, Canary} {
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
 		ended.SetConnected(i == 1)
@@ -272,6 +276,7 @@
 	must.Eq(t, Canary, node.BackendSide("libro", "v2"))
 }
 
+// applyAll applies entries in order and stops at the first error. It gives start entries enough capacity for every share.
 func applyAll(s *State, all ...*Entry) error {
 	for _, e := range all {
 		if e.Verb == Start {
@@ -316,7 +321,8 @@
 			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
 			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // the call names the current revision, so it was not applied before
+			// This call names the current revision, so it cannot have been applied before.
+			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second"))
 			must.Eq(t, routing.Conflict, v)
 			other := testSpec(100)
 			other.Service = "other"
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -3,8 +3,8 @@
 import "clovergap/internal/gateway/logentry"
 
 // Types that gob encodes for the log, for snapshots and for reports. Gob identifies fields by name, and other versions of the program read
-// the data, so these field names must not change, whatever the names in the other types are. Spec and its parts are stored directly. Their
-// names are those of the operators' specifications.
+// the data. These field names must therefore not change, even if the corresponding fields of other types are renamed. Spec and its parts are
+// stored without conversion, so their field names must not change either.
 type (
 	storedEntry struct {
 		Verb    Verb
@@ -74,8 +74,10 @@
 	Evidence []byte
 }
 
+// maxStoredCalls is the maximum number of call IDs in a snapshot of an earlier version. That version dropped older IDs.
 const maxStoredCalls = 256
 
+// newStoredCounts converts counts to their stored form.
 func newStoredCounts(c *Counts) (stored storedCounts) {
 	for side := range c {
 		for kind := range c[side] {
@@ -122,14 +124,14 @@
 		Alone: r.RolledBack, Backs: r.CanaryBackends, Counts: newStoredCounts(&r.Counts), Evidence: r.Evidence}
 }
 
-// Report returns the report that was received as w.
+// Report converts a received report back.
 func (w *WireReport) Report() Report {
 	return Report{Service: w.Service, Number: w.Number, Step: w.Step, Lap: w.Lap, Incarnation: w.Life, Seq: w.Seq, Zone: w.Zone,
 		RolledBack: w.Alone, CanaryBackends: w.Backs, Counts: w.Counts.toCounts(), Evidence: w.Evidence}
 }
 
-// newStoredRuns converts roll-outs to their stored form. It returns nil if there are none, as the other conversions do. Gob omits both nil and
-// an empty slice, but a restored state must equal the original.
+// newStoredRuns converts roll-outs to their stored form. It returns nil if there are none. Gob decodes an empty slice as nil, so an empty
+// slice here would make a restored state differ from the original.
 func newStoredRuns(runs []Run) (stored []storedRun) {
 	for i := range runs {
 		r := &runs[i]
@@ -144,6 +146,7 @@
 	return stored
 }
 
+// runsFromStored converts stored roll-outs back. It returns nil if there are none.
 func runsFromStored(stored []storedRun) (runs []Run) {
 	for i := range stored {
 		s := &stored[i]
@@ -190,8 +193,9 @@
 	return s, err
 }
 
-// addStoredCalls adds the list of call IDs from a snapshot of an earlier version. The list does not contain revisions. Each call created its
-// own revision, which is not later than the revision that addStoredCalls assigns to the call.
+// addStoredCalls adds the list of call IDs from a snapshot of an earlier version. The list does not contain the revisions that the calls
+// created. addStoredCalls assigns consecutive revisions up to the current one. The revision that a call created is never higher than the
+// revision that addStoredCalls assigns to the call.
 func (s *State) addStoredCalls(ids []string) {
 	before := s.Revision - uint64(len(ids))
 	if len(ids) == maxStoredCalls {
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -12,10 +12,12 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// The files testdata/before.* contain data that the version of 2 December 2026 stored and sent (dd5a45a, before its names were changed).
-// They are an operator's start entry, a rollback entry with all fields, a snapshot with an ended and a paused roll-out, the same snapshot
-// with the list of call IDs that still earlier versions stored, a report and a lap.
+// The files testdata/before.* contain data that the previous version stored and sent. This is commit dd5a45a of 2 December 2026, before the
+// fields of the types were renamed. The files are entry (an operator's start entry), verdict (a rollback entry with all fields), snapshot (a
+// snapshot with an ended and a paused roll-out), marks (the same snapshot with the list of call IDs that still earlier versions stored), report
+// and lap.
 
+// previousVersionBytes returns the content of the file testdata/before.<name>.
 func previousVersionBytes(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/before." + name)
@@ -36,7 +38,8 @@
 }
 
 func previousVersionRollback() *Entry {
-	e := &Entry{Verb: Rollback, Service: "libro", CallID: "m", Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Revision: 7, Number: 1, Step: 1, FencingToken: 9}
+	e := &Entry{Verb: Rollback, Service: "libro", CallID: "m", Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed",
+		Revision: 7, Number: 1, Step: 1, FencingToken: 9}
 	for side := range e.Counts {
 		for kind := range e.Counts[side] {
 			tally := &e.Counts[side][kind]
@@ -75,21 +78,24 @@
 		ended := s.Ended()[0]
 		must.Eq(t, *previousVersionSpec(), ended.Spec)
 		must.True(t, ended.Phase == RolledBack && ended.Paused && ended.Number == 1)
-		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed", Counts: previousVersionRollback().Counts}, ended.History[2])
+		must.Eq(t, HistoryEntry{Verb: Rollback, Step: 1, Author: "duty", UnixMilli: 5, Reason: "writes: new 3 of 9 failed",
+			Counts: previousVersionRollback().Counts}, ended.History[2])
 		r := s.Run("libro")
 		must.True(t, r.Number == 2 && r.Revision == 5 && r.Phase == Running && r.Step == 1 && r.Paused && r.Spec.New == "v3")
 		must.Eq(t, Capacity{Baseline: 40, Canary: 30, PeakInUse: 20}, r.Capacity)
 	}
 }
 
-// Guards against a field of the previous version's reports that is lost while nodes of both versions run.
+// Guards against a field of the previous version's reports or laps that is lost when they are decoded. Nodes of both versions run at the same
+// time during an upgrade.
 func TestDecodesReportsOfPreviousVersion(t *testing.T) {
 	var wire WireReport
 	must.NoError(t, logentry.Decode(previousVersionBytes(t, "report"), &wire, "report"))
 	r := wire.Report()
 	evidence := r.Evidence
 	r.Evidence = nil
-	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Incarnation: 1 << 60, Seq: 12, Zone: "a", RolledBack: true, CanaryBackends: 5, Counts: previousVersionRollback().Counts}, r)
+	must.Eq(t, Report{Service: "libro", Number: 2, Step: 1, Lap: 3, Incarnation: 1 << 60, Seq: 12, Zone: "a", RolledBack: true,
+		CanaryBackends: 5, Counts: previousVersionRollback().Counts}, r)
 	e, err := decodeEvidence(evidence)
 	must.NoError(t, err)
 	for window := range windowCount {
@@ -188,7 +194,8 @@
 	must.Eq(t, want, got)
 }
 
-// Guards against a field that the previous version does not find, while both versions run or after a downgrade.
+// Guards against a field of this version's data that the previous version does not find. The previous version reads such data while nodes of
+// both versions run, and after a downgrade.
 func TestPreviousVersionReadsThisVersion(t *testing.T) {
 	checkPreviousVersionReads[oldEntry](t, "entry", previousVersionStart().Encode())
 	checkPreviousVersionReads[oldEntry](t, "verdict", previousVersionRollback().Encode())
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -15,26 +15,29 @@
 	Now() time.Duration
 	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
-	// Call sends a call to some node. It calls done once, with the record of a call that has ended or that the caller has given up.
+	// Call sends a call to some node. It invokes done once, after the call has ended or the caller has given it up. The record contains the
+	// call and its answer.
 	Call(caller string, c coordination.Call, done func(*callhistory.Record))
 }
 
 // Config configures the number and the behavior of the callers.
 type Config struct {
+	// Lockers is the number of callers that acquire locks.
 	Lockers int
-	// MaxWatcherPause limits the pause between two calls of a watcher that occasionally falls behind.
+	// MaxWatcherPause is the longest pause between two calls of a watcher. Watchers occasionally take a random pause up to this limit, so that
+	// they fall behind the history that the system retains.
 	MaxWatcherPause time.Duration
-	// LongTTLs makes some leases up to ten seconds long.
+	// LongTTLs makes the duration of some leases up to ten seconds. Other leases last at most 2.5 seconds.
 	LongTTLs bool
 }
 
-// The first three constants are the numbers of callers of each kind besides the lockers. The others are the numbers of names that the
-// callers share.
 const (
+	// Numbers of callers of each kind besides the lockers.
 	numberCallers = 3
 	editors       = 4
 	watchers      = 3
 
+	// Numbers of locks, counters, key groups and keys that the callers share.
 	lockCount     = 2
 	counterCount  = 2
 	keyGroupCount = 2
@@ -48,8 +51,8 @@
 	return fmt.Sprintf("%s%d", keyGroupName(group), key)
 }
 
-// SharedNames returns the names of some locks, counters and key groups that the callers use. A test uses them to find the replicated groups that
-// store these objects.
+// SharedNames returns the names of some locks, counters and key groups that the callers use. Tests use the names to find the replicated
+// groups that store these objects.
 func SharedNames() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
 // Callers is a set of simulated callers of all kinds.
@@ -59,7 +62,7 @@
 	config     Config
 	lastValue  int // the number in the value of the last put, which makes each value unique
 	stopping   bool
-	unanswered []string // descriptions of the audit calls that got no answer
+	unanswered []string // result of UnansweredAuditCalls
 }
 
 // Start creates the callers and starts them.
@@ -83,8 +86,8 @@
 // Stop lets the callers finish the work that they have begun, and keeps them from starting more.
 func (c *Callers) Stop() { c.stopping = true }
 
-// Audit makes a call on each name. Call it when no fault is left and every lease has expired, because each call must then be answered.
-// UnansweredAuditCalls reports the calls that were not.
+// Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each call
+// must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
@@ -100,17 +103,20 @@
 	}
 }
 
+// sendAuditCall sends one call of the audit and records a missing or wrong answer.
 func (c *Callers) sendAuditCall(call coordination.Call) {
 	c.env.Call("audit", call, func(r *callhistory.Record) {
 		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
-			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call got no answer: %v", r))
+			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call was not answered with status OK or NotFound: %v", r))
 		}
 	})
 }
 
-// UnansweredAuditCalls returns a description of each audit call that got no answer.
+// UnansweredAuditCalls returns a description of each audit call that got no definite answer or an answer with a status other than OK and
+// NotFound.
 func (c *Callers) UnansweredAuditCalls() []string { return c.unanswered }
 
+// randomDuration returns a random duration between from and to, both included.
 func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -8,13 +8,14 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// editor is a caller that reads and puts keys. Two of three puts are conditional and succeed only if the key has not changed since the read.
+// editor is a caller that reads and puts keys. On average, two of three puts are conditional. A conditional put succeeds only if the key has
+// not changed since the read.
 type editor struct {
 	callers *Callers
 	name    string
 }
 
-// readAndPut reads a random key and then usually puts a new value to it.
+// readAndPut reads a random key and usually puts a new value to the key. It repeats this until the callers stop.
 func (e *editor) readAndPut() {
 	c := e.callers
 	if c.stopping {
@@ -47,7 +48,7 @@
 	})
 }
 
-// watcher is a caller that watches a key group repeatedly. Each watch starts after the revision that the previous one returned.
+// watcher is a caller that watches a key group repeatedly. Each watch starts after the revision that the previous watch returned.
 type watcher struct {
 	callers       *Callers
 	name          string
@@ -55,6 +56,7 @@
 	afterRevision uint64
 }
 
+// watchRepeatedly sends a watch and schedules the next one after the answer, until the callers stop.
 func (w *watcher) watchRepeatedly() {
 	c := w.callers
 	if c.stopping {
--- a/internal/lab/callers/locker.go
+++ b/internal/lab/callers/locker.go
@@ -7,15 +7,15 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// locker is a caller that holds a lock for a moment or for several renewals. Sometimes it crashes while it holds the lock, pauses for longer
-// than its lease, or acquires a lock that it held before.
+// locker is a caller that acquires a lock, renews the lease up to five times and releases the lock. At random, a locker crashes while it holds
+// the lock, pauses for longer than its lease, or acquires the same lock as before.
 type locker struct {
 	callers      *Callers
 	name         string
 	lock         string
 	fencingToken uint64
-	ttl          time.Duration
-	expiresAt    time.Duration // the expiry of the lease, by the caller's own clock
+	ttl          time.Duration // duration of the lease
+	expiresAt    time.Duration // time at which the lease expires, by the clock of the Environment
 }
 
 // acquire tries to acquire a lock until it succeeds or the callers stop.
@@ -44,14 +44,15 @@
 	})
 }
 
-// keepLock holds the lock for the given number of further renewals. It also injects the crashes and the pauses of the locker.
+// keepLock holds the lock for the given number of further renewals and then releases it. With a probability of 1 in 20 each, keepLock instead
+// simulates a crash of the locker or a pause that is longer than the lease.
 func (l *locker) keepLock(renewals int) {
 	c := l.callers
 	draw := c.rng.IntN(20)
 	switch {
-	case draw == 0: // the locker crashes, and restarts under the same name
+	case draw == 0: // the locker crashes and restarts under the same name
 		c.env.After(c.randomDuration(0, 3*time.Second), l.acquire)
-	case draw == 1: // the locker pauses for longer than its lease, and then still sends a renewal
+	case draw == 1: // the locker pauses for longer than its lease and then sends a renewal
 		c.env.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
 	case renewals == 0 || c.stopping:
 		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
@@ -81,7 +82,7 @@
 	})
 }
 
-// release releases the lock with at most the given number of retries. The caller continues even if it gets no answer.
+// release releases the lock with at most the given number of retries. The locker then acquires the next lock, even if no answer arrived.
 func (l *locker) release(retries int) {
 	c := l.callers
 	call := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -9,7 +9,7 @@
 	"clovergap/internal/gateway/coordination"
 )
 
-// Rule is the operators' name of a rule. The package comment defines each rule.
+// Rule is the name of a rule, as the operators use it. The package comment defines each rule.
 type Rule string
 
 // The rules that Check applies.
@@ -69,11 +69,12 @@
 	return c
 }
 
+// addViolation adds a violation of a rule.
 func (c *checker) addViolation(rule Rule, format string, args ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkNumbers checks rule ORDER for numbers.
+// checkNumbers checks that the numbers of each counter increase (rule ORDER).
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedKeys(byName) {
@@ -81,13 +82,13 @@
 	}
 }
 
-// checkIncreasing checks that all calls returned different values. It also checks that the value of each call is higher than all values
-// that were returned before the call was sent.
+// checkIncreasing checks that all calls returned different values. It also checks that the value of each call is higher than the values of all
+// calls that ended before this call was sent. The function value returns the number or revision to compare.
 func (c *checker) checkIncreasing(subject string, records []*Record, value func(*Record) uint64) {
 	firstByValue := map[uint64]*Record{}
 	for _, r := range records {
 		if previous := firstByValue[value(r)]; previous != nil {
-			c.addViolation(RuleOrder, "%s: two calls returned %d: %v and %v", subject, value(r), previous, r)
+			c.addViolation(RuleOrder, "%s: two calls returned the value %d: %v and %v", subject, value(r), previous, r)
 		}
 		firstByValue[value(r)] = r
 	}
@@ -103,11 +104,12 @@
 			}
 		}
 		if highest != nil && value(r) <= value(highest) {
-			c.addViolation(RuleOrder, "%s: %v returned no higher value than a call that ended before it was sent: %v", subject, r, highest)
+			c.addViolation(RuleOrder, "%s: the value of call %v is not higher than the value of an earlier call: %v", subject, r, highest)
 		}
 	}
 }
 
+// succeededRecords returns the records of calls that succeeded.
 func succeededRecords(records []*Record) (list []*Record) {
 	for _, r := range records {
 		if r.Succeeded() {
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -27,11 +27,11 @@
 // Succeeded reports whether the call got a definite answer with the status OK.
 func (r *Record) Succeeded() bool { return r.IsDefinite() && r.Result.Status == coordination.StatusOK }
 
-// endedBefore reports whether the call ended before the other one was sent.
+// endedBefore reports whether the call ended before the call other was sent.
 func (r *Record) endedBefore(other *Record) bool { return r.Ended != Never && r.Ended < other.Sent }
 
-// String returns a description of the call for the text of a violation.
+// String returns a description of the call and its answer for the text of a violation.
 func (r *Record) String() string {
-	return fmt.Sprintf("%s: %v of %s, sent at %v, ended at %v: %v fence %d number %d revision %d", r.Caller, r.Call.Operation,
+	return fmt.Sprintf("caller %s: %v of %s, sent at %v, ended at %v: status %v, fence %d, number %d, revision %d", r.Caller, r.Call.Operation,
 		r.Call.Name, r.Sent, r.Ended, r.Result.Status, r.Result.FencingToken, r.Result.Number, r.Result.Revision)
 }
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -17,6 +17,7 @@
 	now     time.Duration
 }
 
+// addRecord adds a call that takes 1 ns, 1 ns after the end of the previous call.
 func (h *historyBuilder) addRecord(call coordination.Call, result coordination.Result) *Record {
 	r := &Record{Caller: "a", Call: call, Sent: h.now, Ended: h.now + 1, Result: result}
 	h.now += 2
@@ -48,6 +49,7 @@
 	return h.addRecord(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, result)
 }
 
+// resultAt returns a successful result with the given revision.
 func resultAt(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
 // watchResult returns the result of a watch that returned the given revision and events with the given revisions.
@@ -153,7 +155,7 @@
 }
 
 // TestLinearizableRejectsStaleRead guards against false alarms and against a missed stale read. A history of a correct system must break no
-// rule and be linearizable, however its calls overlap. With a stale read added at its end, it must not be linearizable.
+// rule and be linearizable, however its calls overlap. After a stale read is added at the end of the history, the history must not be linearizable.
 func TestLinearizableRejectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -8,8 +8,8 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkKeys checks the rules ORDER, STALE, MIXED and REFUSED for keys. It first collects the results of watches and reads, because they may
-// show the revision of a put that got no answer.
+// checkKeys checks the rules ORDER, STALE, MIXED and REFUSED for keys. It first collects the results of watches and reads, because these
+// results may contain the revision of a put that got no answer.
 func (c *checker) checkKeys() {
 	c.collectPuts()
 	c.observeWatches()
@@ -41,8 +41,8 @@
 	}
 }
 
-// checkRevisionsIncrease checks that the revisions in each key group increase. It takes the time at which the first call of a put was sent,
-// because a repeated put returns the revision of the first one.
+// checkRevisionsIncrease checks that the revisions in each key group increase. The put counts as sent when its first call was
+// sent, because a repeated put returns the revision of the first one.
 func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
 	for _, id := range sortedKeys(c.puts) {
@@ -60,21 +60,23 @@
 	}
 }
 
-// checkConditions checks that no other put of the key has a revision between that of a conditional put and the revision that it expected.
+// checkConditions checks each conditional put. No other put of the key may have a revision between the revision that the conditional put
+// expected and the revision that the conditional put got.
 func (c *checker) checkConditions(puts []*put) {
 	for _, p := range puts {
 		for expected := range p.expectedRevisions {
 			for _, other := range puts {
 				if r := other.revision(); r > expected && r < p.revision() {
-					c.addViolation(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d", p.value, p.key, expected, p.revision(), r)
+					c.addViolation(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d",
+						p.value, p.key, expected, p.revision(), r)
 				}
 			}
 		}
 	}
 }
 
-// checkConflicts checks that each conflict names a revision of a put of the key. If the key has a put without an answer whose revision is
-// unknown, any revision may be that put's, so checkConflicts accepts it.
+// checkConflicts checks that the revision in the answer of each rejected conditional put belongs to a put of the key. If the key has an
+// unanswered put with an unknown revision, checkConflicts accepts any revision, because the revision may belong to the unanswered put.
 func (c *checker) checkConflicts(puts []*put) {
 	known, anyUnknown := map[uint64]bool{}, false
 	for _, p := range puts {
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -13,9 +13,9 @@
 	operation   coordination.Operation
 	status      coordination.Status
 	conditional bool
-	expected    uint64 // the revision that a conditional put expects
-	result      uint64 // the revision or number in the answer
-	value       string
+	expected    uint64 // revision that a conditional put expects
+	result      uint64 // revision or number in the answer
+	value       string // value that the call put or read
 }
 
 // modelState is the state of a key or a counter.
@@ -44,8 +44,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Linearizable checks that the calls on each counter and each key are linearizable: they could have taken effect one at a time, each between
-// the time it was sent and the time it ended. The check of a name stops after timeout. undecided lists the names whose check timed out.
+// Linearizable checks that the calls on each counter and each key are linearizable. Calls are linearizable if some sequential order of the calls
+// explains all answers, where each call takes effect between the time it was sent and the time it ended. The check of one counter or key stops
+// after timeout. undecided lists the names of the counters and keys whose check timed out.
 func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
 	c := newChecker(history, Config{})
 	c.collectPuts()
@@ -53,7 +54,7 @@
 	check := func(name string, calls []porcupine.Operation) {
 		switch porcupine.CheckOperationsTimeout(callModel, calls, timeout) {
 		case porcupine.Illegal:
-			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": calls are not linearizable, no order of them explains the answers"})
+			violations = append(violations, Violation{Rule: RuleOrder, Text: name + ": calls are not linearizable: no order of the calls explains the answers"})
 		case porcupine.Unknown:
 			undecided = append(undecided, name)
 		}
@@ -69,10 +70,12 @@
 	return violations, undecided
 }
 
+// newOperation returns a call as an operation of the porcupine library.
 func newOperation(sent, ended time.Duration, call modelCall) porcupine.Operation {
 	return porcupine.Operation{Input: call, Call: int64(sent), Return: int64(ended)}
 }
 
+// numberOperations returns the successful calls on a counter as operations.
 func numberOperations(records []*Record) (operations []porcupine.Operation) {
 	for _, r := range succeededRecords(records) {
 		call := modelCall{operation: coordination.NumberNext, result: r.Result.Number}
@@ -83,13 +86,15 @@
 
 // keyOperations returns the puts, the conflicts and the reads of a key as operations. A put that was sent several times is one operation.
 func (c *checker) keyOperations(key string, puts []*put) []porcupine.Operation {
-	reads := c.readOperations(key) // must run first, since reads may show the revision of a put that got no answer
+	// readOperations must run first, because a read may return the revision of a put that got no answer.
+	reads := c.readOperations(key)
 	operations, known, firstUnknown := putOperations(puts)
 	operations = append(operations, conflictOperations(puts, known, firstUnknown)...)
 	return append(operations, reads...)
 }
 
-// readOperations returns the reads of a key as operations. It records the values and revisions that the reads returned in the puts.
+// readOperations returns the reads of a key as operations. It also stores the values and revisions that the reads returned in
+// the corresponding puts.
 func (c *checker) readOperations(key string) (operations []porcupine.Operation) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
 		isNotFound := r.IsDefinite() && r.Result.Status == coordination.StatusNotFound
@@ -130,8 +135,9 @@
 	return operations, known, firstUnknown
 }
 
-// conflictOperations returns the puts that ended with a conflict as operations. A conflict may name the revision of an ambiguous put whose
-// value no call returned. conflictOperations adds an operation for such a put.
+// conflictOperations returns the puts that ended with a conflict as operations. The answer of such a put contains the current
+// revision of the key. This revision may belong to an ambiguous put whose value no call returned. conflictOperations adds an operation for each
+// such ambiguous put.
 func conflictOperations(puts []*put, known map[uint64]bool, firstUnknown time.Duration) (operations []porcupine.Operation) {
 	for _, p := range puts {
 		for _, r := range p.rejections {
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -14,7 +14,7 @@
 	start, end time.Duration
 }
 
-// checkLocks checks rule ONE.
+// checkLocks checks that each lock has at most one holder at a time and that its fencing tokens increase (rule ONE).
 func (c *checker) checkLocks() {
 	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
@@ -30,7 +30,8 @@
 	}
 }
 
-// checkFencingTokens checks that fencing tokens increase from holder to holder.
+// checkFencingTokens checks that each holder got a higher fencing token than all other holders before. The same holder may get the same token
+// again.
 func (c *checker) checkFencingTokens(name string, records []*Record) {
 	var granted []*Record
 	for _, r := range records {
@@ -45,13 +46,13 @@
 			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
 				c.addViolation(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
 			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
-				c.addViolation(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
+				c.addViolation(RuleOne, "lock %s: a fencing token is lower than an earlier one: call %v after call %v", name, r, other)
 			}
 		}
 	}
 }
 
-// holdIntervals returns the intervals in which each caller considers itself the holder. An interval starts when a successful answer to an
+// holdIntervals returns the intervals in which callers consider themselves the holder of a lock. An interval starts when a successful answer to an
 // acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at which the last
 // successful call was sent.
 func holdIntervals(records []*Record) (ended []holdInterval) {
@@ -105,7 +106,8 @@
 	for i, a := range intervals {
 		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.addViolation(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
+				c.addViolation(RuleOne, "lock %s: holder %s holds the lock from %v to %v, and holder %s from %v to %v",
+					name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -5,13 +5,13 @@
 // put is a value that one or more calls put to a key. Callers repeat a put that gets no answer, and never use the same value for two puts.
 type put struct {
 	key, value        string
-	firstSent         *Record
+	firstSent         *Record         // the call that was sent first
 	firstSuccess      *Record         // the successful call that ended first, or nil if none succeeded
-	acknowledged      map[uint64]bool // the revisions in the answers to its successful calls
+	acknowledged      map[uint64]bool // the revisions in the answers to the successful calls
 	observed          map[uint64]bool // the revisions with which reads and watches returned the value
 	ambiguous         bool            // true if a call of the put got no definite answer
-	expectedRevisions map[uint64]bool // the expected revisions of its successful conditional calls
-	rejections        []*Record
+	expectedRevisions map[uint64]bool // the expected revisions of the successful conditional calls
+	rejections        []*Record       // the calls with a definite answer that is not a success
 }
 
 // revision returns the revision of the put, or 0 if it is unknown. If the put has several revisions, which breaks rule MIXED, revision
@@ -80,7 +80,7 @@
 	return byKey
 }
 
-// observeWatches records the puts that watches returned.
+// observeWatches calls recordObserved for each event that a watch returned.
 func (c *checker) observeWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedKeys(byGroup) {
@@ -101,7 +101,7 @@
 		return
 	}
 	if p.firstSent.Sent > observer.Ended {
-		c.addViolation(RuleMixed, "%v returned value %q of key %s before it was put", observer, value, key)
+		c.addViolation(RuleMixed, "%v returned value %q of key %s before a call put this value", observer, value, key)
 	}
 	if p.firstSuccess == nil && !p.ambiguous {
 		c.addViolation(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -5,7 +5,7 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkWatches checks the rules ORDER and LOST for watches. checkKeys must run before it, because checkKeys collects the puts.
+// checkWatches checks the rules ORDER and LOST for watches. checkKeys must run before checkWatches, because checkKeys collects the puts.
 func (c *checker) checkWatches() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedKeys(byGroup) {
@@ -26,7 +26,7 @@
 func (c *checker) checkWatchResult(group string, r *Record) {
 	after, end := r.Call.AfterRevision, r.Result.Revision
 	if end < after {
-		c.addViolation(RuleOrder, "%v returned a lower revision than the one that it started after", r)
+		c.addViolation(RuleOrder, "%v returned a lower revision than the revision that the watch started after", r)
 	}
 	last := after
 	shown := map[uint64]bool{}
@@ -58,7 +58,7 @@
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
 		if wasGiven && w.endedBefore(r) && r.Sent-w.Ended < c.config.HistoryRetention {
-			c.addViolation(RuleLost, "%v got status 410 for a revision that a watch returned %v before", r, r.Sent-w.Ended)
+			c.addViolation(RuleLost, "%v got status 410 for a revision that an earlier watch returned, %v after that watch ended", r, r.Sent-w.Ended)
 			return
 		}
 	}
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// attemptTimeout limits one attempt at one node. The time that a watch may wait is added to it. The gateway ends each call within
-	// this time.
+	// attemptTimeout limits one attempt at one node. The gateway ends each call within this time. For a watch, the time that the node may
+	// wait for events is added to the limit.
 	attemptTimeout = time.Second
 	// initialBackoff is the delay before the second attempt. The delay doubles with each further attempt, up to maxBackoff.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	// maxResponseBytes limits the response body that the client reads. It is above the largest response of a node: the events of a watch
-	// take at most 128 KiB, and somewhat more when encoded as JSON.
+	// maxResponseBytes limits the response body that the client reads. This limit is above the largest response of a node. The
+	// events of a watch take at most 128 KiB, and somewhat more when encoded as JSON.
 	maxResponseBytes = 1 << 20
 	// maxIdleConnections is the number of idle connections that the client keeps open to each node.
 	maxIdleConnections = 4
@@ -29,13 +29,14 @@
 // Client calls the nodes of one gateway cluster.
 type Client struct {
 	nodes []string
-	// nextNode selects the node of the next attempt: its index is nextNode modulo the number of nodes. Each failed attempt increments it.
+	// nextNode selects the node of the next attempt. The index of this node is nextNode modulo the number of nodes. Each attempt without a
+	// definite response increments nextNode.
 	nextNode atomic.Uint32
 	http     *http.Client
 }
 
-// New returns a client of the nodes at the given control addresses, each in the form host:port. It fails if no address is given. The
-// caller must call Close when it no longer needs the client.
+// New returns a client of the nodes at the given control addresses, each in the form host:port. New returns an error if no address is
+// given. The caller must call Close when the client is no longer needed.
 func New(nodes ...string) (*Client, error) {
 	if len(nodes) == 0 {
 		return nil, errors.New("create coordination client: no node address given")
@@ -51,8 +52,8 @@
 type request struct {
 	method string
 	path   string
-	body   any // the value to encode as the JSON body, ignored for GET
-	// wait is the time that the node may wait before it answers. It is added to attemptTimeout.
+	body   any // value to encode as the JSON body, ignored for GET
+	// wait is the time that the node may wait for events before it answers a watch. The client adds wait to attemptTimeout.
 	wait time.Duration
 }
 
@@ -62,7 +63,7 @@
 	body   []byte
 }
 
-// isDefinite reports whether the response ends the call. If not, the client retries the call at another node.
+// isDefinite reports whether the response ends the call. The client retries the call at another node after any other response.
 func (r *response) isDefinite() bool {
 	return r.status/100 != 5 && r.status != http.StatusTooManyRequests
 }
@@ -72,9 +73,10 @@
 	return r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 }
 
+// decode decodes the JSON body of the response into the value that into points to.
 func (r *response) decode(into any) error { return json.Unmarshal(r.body, into) }
 
-// callWithRetry sends a request to the nodes until one gives a definite response or the context ends. A node may receive the request more than once,
+// callWithRetry sends a request to one node after the other until a node gives a definite response or the context ends. A node may receive the request more than once,
 // so the call must be safe to repeat. callWithRetry decodes the body of a successful response into the value that into points to, unless into is nil.
 // If the context ends, callWithRetry returns ErrUnclear when an attempt may have taken effect, and ErrUnavailable otherwise.
 func (c *Client) callWithRetry(ctx context.Context, r request, into any) error {
@@ -116,8 +118,8 @@
 	}
 }
 
-// attempt sends a request to the current node. If it gets no definite response, it makes the next node the current one for all callers of
-// the client.
+// attempt sends a request to the node that nextNode selects. If there is no definite response, attempt increments nextNode, so that all
+// callers of the client continue with the next node.
 func (c *Client) attempt(ctx context.Context, r request, body []byte) (result response, err error) {
 	nodeIndex := c.nextNode.Load()
 	defer func() {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -31,6 +31,7 @@
 	io.WriteString(w, text)
 }
 
+// requestCount returns the number of recorded requests that contain the substring.
 func (f *fakeNode) requestCount(substring string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,6 +43,7 @@
 	return found
 }
 
+// newFakeNode starts a fakeNode and returns it together with a client of this node.
 func newFakeNode(t *testing.T, respond func(path, body string) (int, string)) (*fakeNode, *Client) {
 	t.Helper()
 	n := &fakeNode{respond: respond}
@@ -60,8 +62,8 @@
 	return ctx
 }
 
-// TestErrorForStatus guards against a wrong error for a status code of the gateway. Each error documents what the caller may rely on after
-// the call.
+// TestErrorForStatus guards against a wrong error for a status code of the gateway. The caller concludes from the error whether the call took
+// effect.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -76,7 +78,8 @@
 }
 
 // TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards against
-// ErrUnavailable for a call that may have taken effect: when the context ends, only a call that certainly had no effect returns it.
+// ErrUnavailable for a call that may have taken effect. When the context ends, a call may return ErrUnavailable only if the call certainly had
+// no effect.
 func TestRetryUntilDefiniteResponse(t *testing.T) {
 	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
@@ -110,7 +113,7 @@
 }
 
 // TestSessionEndsBeforeLeaseExpires guards against a session that outlives its lease. The session renews its lease until no node answers or
-// a node reports that the lock is lost. It must then end with ErrLost before the lease expires.
+// a node reports that the lock is lost. The session must then end with ErrLost before the lease expires.
 func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
 	for name, status := range map[string]int{"no node answers": 503, "lock is lost": 409} {
 		renewals := 0
--- a/pkg/coordination/doc.go
+++ b/pkg/coordination/doc.go
@@ -13,8 +13,8 @@
 // # Guarantees
 //
 // The client sends each call to one node after the other until a node answers or the context ends. Each node has one second to answer.
-// A call may therefore arrive more than once. The repetition is harmless: the holder of a lock may acquire it again, a counter skips a
-// number, and the gateway recognizes a repeated put by its key and value. Put each value at most once to a key, because the gateway takes a
+// A call may therefore arrive more than once. The repetition is harmless. The holder of a lock may acquire the lock again. A counter skips a
+// number. The gateway recognizes a repeated put by its key and value. Put each value at most once to a key, because the gateway takes a
 // second put of the same value for a repetition of the first one.
 //
 // Use errors.Is and errors.As to tell errors apart. ErrUnavailable guarantees that the call had no effect and will have none later.
--- a/pkg/coordination/errors.go
+++ b/pkg/coordination/errors.go
@@ -22,10 +22,10 @@
 	// watch from the current revision.
 	ErrCompacted = errors.New("watch revision is older than the retained history")
 	// ErrInvalid means that a node rejected the call as invalid, for example because a name is too long or a lease is zero. The error that
-	// wraps it contains the reason that the node gave.
+	// wraps ErrInvalid contains the reason that the node gave.
 	ErrInvalid = errors.New("call is invalid")
 	// ErrUnavailable means that no node could serve the call before the context ended. The call had no effect and will have none later.
-	ErrUnavailable = errors.New("no node could serve the call and it had no effect")
+	ErrUnavailable = errors.New("no node could serve the call, and the call had no effect")
 	// ErrUnclear means that the context ended without a definite response. The call may have taken effect or may still take effect.
 	ErrUnclear = errors.New("call may have taken effect or may still take effect")
 )
@@ -36,10 +36,13 @@
 	Revision uint64
 }
 
-// Error implements the error interface.
-func (c *ConflictError) Error() string { return fmt.Sprintf("conflict at key revision %d", c.Revision) }
+// Error returns a message with the current revision of the key.
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("conditional put failed: current revision of the key is %d", c.Revision)
+}
 
-// errorForStatus returns the error that a definite response stands for, or nil for success. api/control.yaml defines the status codes.
+// errorForStatus returns the error that corresponds to the status of a definite response, or nil for success. api/control.yaml defines the
+// status codes.
 func (r *response) errorForStatus() error {
 	switch r.status {
 	case http.StatusOK:
@@ -57,5 +60,5 @@
 	case http.StatusGone:
 		return ErrCompacted
 	}
-	return errors.Wrapf(ErrInvalid, "status %d: %s", r.status, strings.TrimSpace(string(r.body)))
+	return errors.Wrapf(ErrInvalid, "node answered with status %d: %s", r.status, strings.TrimSpace(string(r.body)))
 }
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -44,12 +44,13 @@
 	return c.put(ctx, key, putBody{Value: value, ExpectedRevision: &revision})
 }
 
-// putBody is the JSON request body KeyReplace of api/control.yaml.
+// putBody is the JSON request body KeyReplace of api/control.yaml. ExpectedRevision is nil for an unconditional put.
 type putBody struct {
 	Value            string  `json:"value"`
 	ExpectedRevision *uint64 `json:"topic,omitempty"`
 }
 
+// put sends a conditional or unconditional put and returns its revision.
 func (c *Client) put(ctx context.Context, key string, body putBody) (uint64, error) {
 	var v Value
 	err := c.callWithRetry(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
@@ -58,13 +59,13 @@
 
 // Event is a put that a watch reports.
 type Event struct {
-	Name     string `json:"name"`
+	Name     string `json:"name"` // full name of the key
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
 // Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the puts
-// as events, together with the revision from which to continue. It returns no events if none arrives within the time wait. If after is 0,
+// as events, together with the revision from which to continue. If no put arrives within the duration wait, Watch returns no events. If after is 0,
 // Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time that the gateway's
 // setting bounds.history states. For older revisions, Watch may return ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, wait time.Duration) ([]Event, uint64, error) {
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -20,7 +20,8 @@
 )
 
 // Session represents a lock that its holder has acquired. A Session renews its lease in the background. If the renewals fail, the Session
-// ends shortly before the lease expires, measured by the monotonic clock of this machine, and so before another holder can acquire the lock.
+// ends shortly before the lease expires, and so before another holder can acquire the lock. The Session measures the lease by the monotonic
+// clock of this machine.
 // Work under the lock should stop when Context ends, and its writes should carry Fence.
 type Session struct {
 	client       *Client
@@ -33,21 +34,23 @@
 	renewals     sync.WaitGroup // waits for the goroutine that runs renewPeriodically
 
 	mu     sync.Mutex
-	expiry *time.Timer // ends the session when its lease is about to expire
+	expiry *time.Timer // ends the session shortly before its lease expires, see expiryMarginDivisor
 }
 
-// acquireBody is the JSON request body LockBegin of api/control.yaml. renewBody is LockHeartbeat, and releaseBody is LockFinish.
+// acquireBody is the JSON request body LockBegin of api/control.yaml.
 type acquireBody struct {
 	TTL    string `json:"hold"`
 	Holder string `json:"holder"`
 }
 
+// renewBody is the JSON request body LockHeartbeat of api/control.yaml.
 type renewBody struct {
 	Holder       string `json:"holder"`
 	FencingToken uint64 `json:"fence"`
 	TTL          string `json:"hold"`
 }
 
+// releaseBody is the JSON request body LockFinish of api/control.yaml.
 type releaseBody struct {
 	Holder       string `json:"holder"`
 	FencingToken uint64 `json:"fence"`
@@ -77,10 +80,12 @@
 	return s, nil
 }
 
+// lockPath returns the URL path of an operation on a lock.
 func lockPath(operation, name string) string {
 	return "/api/Locks." + operation + "/" + url.PathEscape(name)
 }
 
+// formatMilliseconds formats a duration in the form of the API, for example 300ms.
 func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatInt(d.Milliseconds(), 10) + "ms"
 }
@@ -101,13 +106,14 @@
 		return false
 	}
 	if s.expiry != nil && !s.expiry.Stop() {
-		return false // the timer has fired, because the lease has expired in the meantime
+		// The timer has already fired and ended the session.
+		return false
 	}
 	s.expiry = time.AfterFunc(timeLeft, func() { s.cancel(ErrLost) })
 	return true
 }
 
-// renewPeriodically renews the lease until the session ends. It repeats a failed renewal. If all renewals fail, the expiry timer ends the
+// renewPeriodically renews the lease until the session ends. If a renewal fails, the next tick repeats the renewal. If all renewals fail, the expiry timer ends the
 // session. If a node reports that the lock is lost, renewPeriodically ends the session at once.
 func (s *Session) renewPeriodically() {
 	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
@@ -118,7 +124,8 @@
 			return
 		case <-ticker.C:
 		}
-		expiresAt := time.Now().Add(s.ttl) // measured from before the call is sent
+		// The lease is measured from before the call is sent.
+		expiresAt := time.Now().Add(s.ttl)
 		err := s.sendRenewal()
 		isLost := errors.Is(err, ErrHeld) || err == nil && !s.extendLease(expiresAt)
 		if isLost {
@@ -128,12 +135,13 @@
 	}
 }
 
+// sendRenewal sends one renewal, which callWithRetry repeats until a node gives a definite response or the session ends.
 func (s *Session) sendRenewal() error {
 	body := renewBody{Holder: s.holder, FencingToken: s.fencingToken, TTL: formatMilliseconds(s.ttl)}
 	return s.client.callWithRetry(s.ctx, request{method: http.MethodPost, path: lockPath("Heartbeat", s.name), body: body}, nil)
 }
 
-// Finish ends the session and releases the lock, so that another holder can acquire it at once.
+// Finish ends the session and releases the lock, so that another holder can acquire the lock at once.
 func (s *Session) Finish(ctx context.Context) error {
 	s.cancel(ErrFinished)
 	s.renewals.Wait()
