--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -196,9 +196,9 @@
 	return list, reporting, rolledBack
 }
 
-// evaluateReports combines the findings of all nodes. It proposes a rollback if the score reaches 1, or if at least two nodes have rolled back
-// locally. The score does not count if only one of several nodes has sent reports. If the baseline has no ready backend, evaluateReports
-// proposes a pause instead of a rollback.
+// evaluateReports combines the findings of all nodes. It proposes a rollback if the score reaches 1, or if at least two nodes have rolled
+// back locally. The score does not count if only one of several nodes has sent reports. If the baseline has no ready backend,
+// evaluateReports proposes a pause instead of a rollback.
 func (c *Coordinator) evaluateReports(a *activeRollout) {
 	list, reporting, rolledBack := a.collectFindings()
 	score, suspicion := evaluate(list, a.Step, a.lap, FleetFalsePositiveRate)
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -7,9 +7,9 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// Decide returns the result that Apply would have for an entry, but does not change the state. The error says why the entry is not accepted.
-// Decide returns routing.Ambiguous instead of routing.Conflict if the entry may repeat a call that was applied so long ago that the call's ID
-// is no longer stored.
+// Decide returns the result that Apply would have for an entry, but does not change the state. The error says why the entry is not
+// accepted. Decide returns routing.Ambiguous instead of routing.Conflict if the entry may repeat a call that was applied so long ago that
+// the call's ID is no longer stored.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	v, err := s.decide(e)
 	if v == routing.Conflict && s.mayHaveBeenApplied(e) {
@@ -24,8 +24,9 @@
 // callDigest returns the digest under which a call ID is stored.
 func callDigest(id string) logentry.Digest { return logentry.DigestOf([]byte(id)) }
 
-// mayHaveBeenApplied reports whether an entry's call may have been applied although its ID is no longer stored. The horizon is the highest
-// revision whose call ID may have been dropped. An entry that is based on a revision at or above the horizon cannot have created a dropped ID.
+// mayHaveBeenApplied reports whether an entry's call may have been applied although its ID is no longer stored. The horizon is the
+// highest revision whose call ID may have been dropped. An entry that is based on a revision at or above the horizon cannot have created
+// a dropped ID.
 func (s *State) mayHaveBeenApplied(e *Entry) bool {
 	horizon := s.appliedCalls.Horizon()
 	if e.CallID == "" || horizon == 0 || s.Run(e.Service) == nil {
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -1,6 +1,6 @@
-// Package rollout moves the users of a service from one version to the next in steps, and moves them back if the new version fails. Such a
-// roll-out is a canary release. A sequential statistical test decides whether the new version fails, instead of fixed thresholds. docs/rollouts.md
-// describes the statistics, the measured figures and the alternatives that were considered.
+// Package rollout moves the users of a service from one version to the next in steps, and moves them back if the new version fails. Such
+// a roll-out is a canary release. A sequential statistical test decides whether the new version fails, instead of fixed thresholds.
+// docs/rollouts.md describes the statistics, the measured figures and the alternatives that were considered.
 //
 // # Terms
 //
@@ -34,9 +34,9 @@
 //
 // # Guarantees
 //
-//   - The probability that all nodes roll back a good version during a whole roll-out is at most FleetFalsePositiveRate. The probability that
-//     one node rolls it back locally is at most NodeFalsePositiveRate. Failures of a single backend or a single node never cause a rollback
-//     by all nodes.
+//   - The probability that all nodes roll back a good version during a whole roll-out is at most FleetFalsePositiveRate. The probability
+//     that one node rolls it back locally is at most NodeFalsePositiveRate. Failures of a single backend or a single node never cause a
+//     rollback by all nodes.
 //   - A user has the same side at every node that knows the same step, and stays on the canary while the share grows.
 //   - A roll-out that was rolled back or finished stays so until another roll-out of the service starts. Entries contain the number of their
 //     roll-out. A coordinator's entries also contain a fencing token (the leader's term). A late decision therefore has no effect on a newer
@@ -47,10 +47,11 @@
 //
 // # Constraints
 //
-// The package does no I/O, reads no clock and uses no random numbers. The host is the part of the gateway node that calls this package. The
-// host passes the time to Tick, and calls Next for the messages to send, the entries to propose and the events to log. A user must not be sent to a running canary before this incarnation of the node has
-// been connected to the core (SetConnected). A request must not move from the baseline to the canary (MayAttempt). The types are not
-// safe for concurrent use. The host calls them from the node's event loop.
+// The package does no I/O, reads no clock and uses no random numbers. The host is the part of the gateway node that calls this package.
+// The host passes the time to Tick, and calls Next for the messages to send, the entries to propose and the events to log. A user must
+// not be sent to a running canary before this incarnation of the node has been connected to the core (SetConnected). A request must not
+// move from the baseline to the canary (MayAttempt). The types are not safe for concurrent use. The host calls them from the node's event
+// loop.
 //
 // # Stored and sent names
 //
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -46,8 +46,8 @@
 	excluded       bool   // totalWealth skips these findings, to check whether a decision depends on one node
 }
 
-// logWealthWithout returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend is 0, the
-// failures of all backends count.
+// logWealthWithout returns the logarithms of one node's wealth in a window, without the failures of excludedBackend. If excludedBackend
+// is 0, the failures of all backends count.
 func (f *findings) logWealthWithout(window int, excludedBackend uint64) logWealth {
 	wealth := f.total[window]
 	if backend := f.perBackend[excludedBackend]; backend != nil {
@@ -60,8 +60,8 @@
 	return wealth
 }
 
-// totalWealth returns the total wealth of all bets in a window, without the failures of excludedBackend. The total stake is 1. If excludedBackend
-// is 0, the failures of all backends count.
+// totalWealth returns the total wealth of all bets in a window, without the failures of excludedBackend. The total stake is 1. If
+// excludedBackend is 0, the failures of all backends count.
 func totalWealth(list []*findings, window int, excludedBackend uint64) float64 {
 	var sum logWealth
 	zones := map[string]*[2][ratioCount]float64{} // by kind of request
@@ -122,9 +122,9 @@
 // rolled back. The suspicion is the total wealth divided by suspicionWealth. If the suspicion is 1 or more, the roll-out does not advance to
 // the next step. Each result is the larger one of the values for the two windows.
 //
-// evaluate also computes the score without the failures of each single backend and without the findings of each single node, and returns the
-// lowest score. A fault of one machine is not a fault of the version. Each of the two windows gets half of the false positive rate. Within a window, the k-th step or
-// lap gets the fraction 1/(k(k+1)) of that half.
+// evaluate also computes the score without the failures of each single backend and without the findings of each single node, and returns
+// the lowest score. A fault of one machine is not a fault of the version. Each of the two windows gets half of the false positive rate.
+// Within a window, the k-th step or lap gets the fraction 1/(k(k+1)) of that half.
 func evaluate(list []*findings, step, lap int, falsePositiveRate float64) (score, suspicion float64) {
 	for window, k := range [windowCount]float64{stepWindow: float64(step), lapWindow: float64(lap)} {
 		required := 2 * k * (k + 1) / falsePositiveRate
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -19,8 +19,9 @@
 	Evidence       []byte // result of evidence.encode
 }
 
-// Lap is the coordinator's message that a new lap of a roll-out has started. Its field Lap is the number of the lap, counted from 1. A lap is an interval of 30 s for which evidence is gathered
-// from zero, in addition to the evidence since the start of the step. The package comment explains why laps are needed. Lap is sent between nodes with gob, so its field names must not change.
+// Lap is the coordinator's message that a new lap of a roll-out has started. Its field Lap is the number of the lap, counted from 1. A
+// lap is an interval of 30 s for which evidence is gathered from zero, in addition to the evidence since the start of the step. The
+// package comment explains why laps are needed. Lap is sent between nodes with gob, so its field names must not change.
 type Lap struct {
 	Service string
 	Number  Number
--- a/internal/gateway/rollout/side.go
+++ b/internal/gateway/rollout/side.go
@@ -58,8 +58,8 @@
 	return int(hi)
 }
 
-// CountCanaryUsers returns how many of the given users are on the canary in each step of roll-out n. Dry runs show these numbers, because the
-// actual shares deviate from the configured ones if there are few users.
+// CountCanaryUsers returns how many of the given users are on the canary in each step of roll-out n. Dry runs show these numbers, because
+// the actual shares deviate from the configured ones if there are few users.
 func (s *Spec) CountCanaryUsers(n Number, users [][]byte) []int {
 	counts, salt := make([]int, len(s.Steps)), hashSalt(s.Service, n)
 	for _, user := range users {
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// simulateTick simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the coordinator
-// proposes. The entries take effect at the nodes with the next tick.
+// simulateTick simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the
+// coordinator proposes. The entries take effect at the nodes with the next tick.
 func (s *simulation) simulateTick() {
 	s.now += tick
 	failureFactor, latencyFactor := s.commonFactors(s.now)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps. Each roll-out may have a random fault that is not
-// caused by the version.
+// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps. Each roll-out may have a random fault
+// that is not caused by the version.
 func TestGoodVersionIsNotRolledBack(t *testing.T) {
 	t.Parallel()
 	const runs = 1000
@@ -358,8 +358,8 @@
 	must.Error(t, coordinator.HandleReport(1, broken))
 }
 
-// Guards against a rollback by all nodes on the evidence of one faulty node. The coordinator must not propose a rollback while only this node
-// has sent reports, even if the reports come from several incarnations of this node.
+// Guards against a rollback by all nodes on the evidence of one faulty node. The coordinator must not propose a rollback while only this
+// node has sent reports, even if the reports come from several incarnations of this node.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
 	e := startEntry(testSpec(5000), 0, "")
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -86,8 +86,8 @@
 // Stop lets the callers finish the work that they have begun, and keeps them from starting more.
 func (c *Callers) Stop() { c.stopping = true }
 
-// Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each call
-// must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
+// Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each
+// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
--- a/internal/lab/callers/locker.go
+++ b/internal/lab/callers/locker.go
@@ -7,8 +7,8 @@
 	"clovergap/internal/lab/callhistory"
 )
 
-// locker is a caller that acquires a lock, renews the lease up to five times and releases the lock. At random, a locker crashes while it holds
-// the lock, pauses for longer than its lease, or acquires the same lock as before.
+// locker is a caller that acquires a lock, renews the lease up to five times and releases the lock. At random, a locker crashes while it
+// holds the lock, pauses for longer than its lease, or acquires the same lock as before.
 type locker struct {
 	callers      *Callers
 	name         string
@@ -44,8 +44,8 @@
 	})
 }
 
-// keepLock holds the lock for the given number of further renewals and then releases it. With a probability of 1 in 20 each, keepLock instead
-// simulates a crash of the locker or a pause that is longer than the lease.
+// keepLock holds the lock for the given number of further renewals and then releases it. With a probability of 1 in 20 each, keepLock
+// instead simulates a crash of the locker or a pause that is longer than the lease.
 func (l *locker) keepLock(renewals int) {
 	c := l.callers
 	draw := c.rng.IntN(20)
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// checkIncreasing checks that all calls returned different values. It also checks that the value of each call is higher than the values of all
-// calls that ended before this call was sent. The function value returns the number or revision to compare.
+// checkIncreasing checks that all calls returned different values. It also checks that the value of each call is higher than the values
+// of all calls that ended before this call was sent. The function value returns the number or revision to compare.
 func (c *checker) checkIncreasing(subject string, records []*Record, value func(*Record) uint64) {
 	firstByValue := map[uint64]*Record{}
 	for _, r := range records {
--- a/internal/lab/callhistory/doc.go
+++ b/internal/lab/callhistory/doc.go
@@ -1,6 +1,6 @@
 // Package callhistory checks histories of coordination calls against the operators' rules for locks, numbers, keys and watches. A history
-// contains the calls and the answers as the callers saw them, with times of one clock. A history
-// contains no internal state of the system.
+// contains the calls and the answers as the callers saw them, with times of one clock. A history contains no internal state of the
+// system.
 //
 // The operators name the rules as follows:
 //
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -154,8 +154,9 @@
 	}
 }
 
-// TestLinearizableRejectsStaleRead guards against false alarms and against a missed stale read. A history of a correct system must break no
-// rule and be linearizable, however its calls overlap. After a stale read is added at the end of the history, the history must not be linearizable.
+// TestLinearizableRejectsStaleRead guards against false alarms and against a missed stale read. A history of a correct system must break
+// no rule and be linearizable, however its calls overlap. After a stale read is added at the end of the history, the history must not be
+// linearizable.
 func TestLinearizableRejectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, last, value := &historyBuilder{}, uint64(0), ""
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -44,9 +44,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Linearizable checks that the calls on each counter and each key are linearizable. Calls are linearizable if some sequential order of the calls
-// explains all answers, where each call takes effect between the time it was sent and the time it ended. The check of one counter or key stops
-// after timeout. undecided lists the names of the counters and keys whose check timed out.
+// Linearizable checks that the calls on each counter and each key are linearizable. Calls are linearizable if some sequential order of
+// the calls explains all answers, where each call takes effect between the time it was sent and the time it ended. The check of one
+// counter or key stops after timeout. undecided lists the names of the counters and keys whose check timed out.
 func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
 	c := newChecker(history, Config{})
 	c.collectPuts()
@@ -135,9 +135,9 @@
 	return operations, known, firstUnknown
 }
 
-// conflictOperations returns the puts that ended with a conflict as operations. The answer of such a put contains the current
-// revision of the key. This revision may belong to an ambiguous put whose value no call returned. conflictOperations adds an operation for each
-// such ambiguous put.
+// conflictOperations returns the puts that ended with a conflict as operations. The answer of such a put contains the current revision of
+// the key. This revision may belong to an ambiguous put whose value no call returned. conflictOperations adds an operation for each such
+// ambiguous put.
 func conflictOperations(puts []*put, known map[uint64]bool, firstUnknown time.Duration) (operations []porcupine.Operation) {
 	for _, p := range puts {
 		for _, r := range p.rejections {
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// checkFencingTokens checks that each holder got a higher fencing token than all other holders before. The same holder may get the same token
-// again.
+// checkFencingTokens checks that each holder got a higher fencing token than all other holders before. The same holder may get the same
+// token again.
 func (c *checker) checkFencingTokens(name string, records []*Record) {
 	var granted []*Record
 	for _, r := range records {
@@ -52,9 +52,9 @@
 	}
 }
 
-// holdIntervals returns the intervals in which callers consider themselves the holder of a lock. An interval starts when a successful answer to an
-// acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at which the last
-// successful call was sent.
+// holdIntervals returns the intervals in which callers consider themselves the holder of a lock. An interval starts when a successful
+// answer to an acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at
+// which the last successful call was sent.
 func holdIntervals(records []*Record) (ended []holdInterval) {
 	open := map[string]*holdInterval{}
 	for _, r := range records {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -62,8 +62,8 @@
 	return ctx
 }
 
-// TestErrorForStatus guards against a wrong error for a status code of the gateway. The caller concludes from the error whether the call took
-// effect.
+// TestErrorForStatus guards against a wrong error for a status code of the gateway. The caller concludes from the error whether the call
+// took effect.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -77,9 +77,9 @@
 	must.Eq(t, 7, conflict.Revision)
 }
 
-// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards against
-// ErrUnavailable for a call that may have taken effect. When the context ends, a call may return ErrUnavailable only if the call certainly had
-// no effect.
+// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards
+// against ErrUnavailable for a call that may have taken effect. When the context ends, a call may return ErrUnavailable only if the call
+// certainly had no effect.
 func TestRetryUntilDefiniteResponse(t *testing.T) {
 	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
--- a/pkg/coordination/example_test.go
+++ b/pkg/coordination/example_test.go
@@ -11,8 +11,8 @@
 	"clovergap/pkg/coordination"
 )
 
-// Run a job on at most one host at a time. The store that the job writes to must reject a write whose fencing token is lower than the highest
-// token that the store has received.
+// Run a job on at most one host at a time. The store that the job writes to must reject a write whose fencing token is lower than the
+// highest token that the store has received.
 func ExampleClient_Lock() {
 	client, err := coordination.New("10.0.0.1:7003", "10.0.0.2:7003")
 	if err != nil {
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -64,10 +64,10 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the puts
-// as events, together with the revision from which to continue. If no put arrives within the duration wait, Watch returns no events. If after is 0,
-// Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time that the gateway's
-// setting bounds.history states. For older revisions, Watch may return ErrCompacted.
+// Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the
+// puts as events, together with the revision from which to continue. If no put arrives within the duration wait, Watch returns no events.
+// If after is 0, Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time
+// that the gateway's setting bounds.history states. For older revisions, Watch may return ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	query := "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	var result struct {
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -20,9 +20,8 @@
 )
 
 // Session represents a lock that its holder has acquired. A Session renews its lease in the background. If the renewals fail, the Session
-// ends shortly before the lease expires, and so before another holder can acquire the lock. The Session measures the lease by the monotonic
-// clock of this machine.
-// Work under the lock should stop when Context ends, and its writes should carry Fence.
+// ends shortly before the lease expires, and so before another holder can acquire the lock. The Session measures the lease by the
+// monotonic clock of this machine. Work under the lock should stop when Context ends, and its writes should carry Fence.
 type Session struct {
 	client       *Client
 	name         string
@@ -113,8 +112,8 @@
 	return true
 }
 
-// renewPeriodically renews the lease until the session ends. If a renewal fails, the next tick repeats the renewal. If all renewals fail, the expiry timer ends the
-// session. If a node reports that the lock is lost, renewPeriodically ends the session at once.
+// renewPeriodically renews the lease until the session ends. If a renewal fails, the next tick repeats the renewal. If all renewals fail,
+// the expiry timer ends the session. If a node reports that the lock is lost, renewPeriodically ends the session at once.
 func (s *Session) renewPeriodically() {
 	ticker := time.NewTicker(s.ttl / renewalsPerTTL)
 	defer ticker.Stop()
