--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -44,7 +44,7 @@
 	baselineBackends int
 	// unconfigured is true if the configuration no longer contains the service.
 	unconfigured bool
-	// suspicion is the result of the last evaluation (see Counts). The coordinator does not advance while it is 1 or more.
+	// suspicion is the result of the last evaluation (see Counts). The coordinator does not advance while the suspicion is 1 or more.
 	suspicion float64
 }
 
@@ -163,7 +163,7 @@
 		a := c.active[service]
 		if c.now-a.lapStart >= lapInterval {
 			a.lap, a.lapStart = a.lap+1, c.now
-			c.push(BroadcastLap{Lap{service, a.Number, a.lap}})
+			c.pushAction(BroadcastLap{Lap{service, a.Number, a.lap}})
 		}
 		if a.unconfigured {
 			c.propose(a, Rollback, a.Step, "the service is not in the configuration any more")
@@ -241,6 +241,6 @@
 		return
 	}
 	a.proposedAt = c.now
-	c.push(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: why, Number: a.Number, Step: step,
+	c.pushAction(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: why, Number: a.Number, Step: step,
 		FencingToken: c.fencingToken, Counts: a.totalCounts()}})
 }
--- a/internal/gateway/rollout/counter.go
+++ b/internal/gateway/rollout/counter.go
@@ -101,7 +101,7 @@
 
 // closeSpan adds the current span to the evidence and starts the next span.
 func (s *stepCounter) closeSpan(now time.Duration) {
-	s.evidence.add(&s.span, func(test int) float64 {
+	s.evidence.addSpan(&s.span, func(test int) float64 {
 		if test >= latencyTests {
 			return toleratedSlowRate
 		}
--- a/internal/gateway/rollout/decide.go
+++ b/internal/gateway/rollout/decide.go
@@ -11,7 +11,7 @@
 // accepted. Decide returns routing.Ambiguous instead of routing.Conflict if the entry may repeat a call that was applied so long ago that
 // the call's ID is no longer stored.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
-	v, err := s.decide(e)
+	v, err := s.decideWithoutHorizon(e)
 	if v == routing.Conflict && s.mayHaveBeenApplied(e) {
 		return routing.Ambiguous, errors.Wrap(err, "call may have been applied earlier, its ID is no longer stored")
 	}
@@ -44,8 +44,8 @@
 	return routing.Conflict, logentry.FieldErrorf(field, format, args...)
 }
 
-// decide returns the result of Decide, except that it returns routing.Conflict where Decide may return routing.Ambiguous.
-func (s *State) decide(e *Entry) (routing.Result, error) {
+// decideWithoutHorizon returns the result of Decide, except that it returns routing.Conflict where Decide may return routing.Ambiguous.
+func (s *State) decideWithoutHorizon(e *Entry) (routing.Result, error) {
 	if s.IsCallApplied(e.CallID) {
 		return routing.Duplicate, nil
 	}
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -79,12 +79,12 @@
 	clear(s.perBackend)
 }
 
-// add adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are equal,
+// addSpan adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are equal,
 // each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on a ratio
 // (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the baseline. The
 // expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected effect of these
 // additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
-func (e *evidence) add(s *span, toleratedRate func(test int) float64) {
+func (e *evidence) addSpan(s *span, toleratedRate func(test int) float64) {
 	for test := range testCount {
 		n0, n1 := float64(s.outcomes[Baseline][test]), float64(s.outcomes[Canary][test])
 		if n0 == 0 || n1 == 0 {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -150,7 +150,7 @@
 		return Baseline, false
 	case local.Phase == Finished:
 		return Canary, false
-	case len(user) == 0 || !local.Spec.Limits.matches(in):
+	case len(user) == 0 || !local.Spec.Limits.includes(in):
 		return Baseline, false
 	case userPosition(local.salt, user) < share:
 		return Canary, true
@@ -203,7 +203,7 @@
 			n.evaluateLocally(local)
 		}
 		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.reportImmediately) {
-			n.push(SendReport{n.nextReport(local)})
+			n.pushAction(SendReport{n.nextReport(local)})
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	local.reportImmediately = suspicion >= 1
 	if score >= 1 {
 		local.rolledBack, local.unreported, local.reportImmediately = true, true, true
-		n.push(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
+		n.pushAction(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
 	}
 }
 
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -65,7 +65,7 @@
 // actionQueue holds the actions that the host has not yet taken.
 type actionQueue struct{ actions []Action }
 
-func (a *actionQueue) push(action Action) { a.actions = append(a.actions, action) }
+func (a *actionQueue) pushAction(action Action) { a.actions = append(a.actions, action) }
 
 // Next removes and returns the next action. It returns false if there is none.
 func (a *actionQueue) Next() (Action, bool) {
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -50,7 +50,7 @@
 		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, lostReportsOfSeven: 1}
 	sim.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
 	sim.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
-	e := startEntry(spec, 0, "")
+	e := newStartEntry(spec, 0, "")
 	e.Capacity.Canary = 1000
 	if _, err := sim.state.Apply(e); err != nil {
 		panic(err)
@@ -162,7 +162,7 @@
 	for part := range 8 {
 		all.Go(func() {
 			for seed := part; seed < runs; seed += 8 {
-				sim := newSimulation(int64(seed), 6, 150, testSpec(100, 500, 2500, 5000))
+				sim := newSimulation(int64(seed), 6, 150, newTestSpec(100, 500, 2500, 5000))
 				sim.failureRate = 0.004 + 0.026*sim.rng.Float64()
 				injectRandomFault(sim)
 				for sim.now < 45*time.Second && sim.rollbackReason == "" {
@@ -192,20 +192,20 @@
 // backend that crashes, a backend that is faulty all the time, and a zone whose nodes have network problems.
 func injectRandomFault(sim *simulation) {
 	faultStart := time.Duration(5+sim.rng.Intn(30)) * time.Second
-	active := func(now, long time.Duration) bool { return now >= faultStart && now < faultStart+long }
+	isActive := func(now, long time.Duration) bool { return now >= faultStart && now < faultStart+long }
 	faultyBackend := uint64(1 + sim.rng.Intn(baselineBackendCount+canaryBackendCount))
 	unhealthyZone := sim.rng.Intn(3)
 	switch sim.rng.Intn(5) {
 	case 0:
 		sim.commonFactors = func(now time.Duration) (float64, float64) {
-			if active(now, 6*time.Second) {
+			if isActive(now, 6*time.Second) {
 				return 15, 2.5
 			}
 			return 1, 1
 		}
 	case 1: // a backend crashes, and the load balancer sends requests to it for another second
 		sim.fault = func(now time.Duration, e *Outcome, _, _ int) (float64, float64) {
-			if e.Backend == faultyBackend && active(now, time.Second) {
+			if e.Backend == faultyBackend && isActive(now, time.Second) {
 				return 1, 1
 			}
 			return 0, 1
@@ -219,7 +219,7 @@
 		}
 	case 3: // the nodes of one zone have network problems with both sides
 		sim.fault = func(now time.Duration, _ *Outcome, zone, _ int) (float64, float64) {
-			if zone == unhealthyZone && active(now, 5*time.Second) {
+			if zone == unhealthyZone && isActive(now, 5*time.Second) {
 				return 0.3, 1.5
 			}
 			return 0, 1
@@ -244,7 +244,7 @@
 	oneTenant := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
 	warmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
 	afterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
-	everything := func(time.Duration, *Outcome, int, int) bool { return true }
+	allRequests := func(time.Duration, *Outcome, int, int) bool { return true }
 	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
@@ -258,14 +258,14 @@
 		{"1 in 5 writes fails", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
 		{"1 in 5 writes fails", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
 		{"1 in 5 writes fails", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
-		{"all requests fail", 100, 350, failsWhen(1, 1, everything), 6 * time.Second},
-		{"all requests fail", 5000, 350, failsWhen(1, 1, everything), 3 * time.Second},
-		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, everything), 90 * time.Second},
-		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, everything), 40 * time.Second},
+		{"all requests fail", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
+		{"all requests fail", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
+		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, allRequests), 90 * time.Second},
+		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, allRequests), 40 * time.Second},
 		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
 		{"1 zone of 3: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
-		{"latency doubled", 1000, 350, failsWhen(0, 2, everything), 45 * time.Second},
-		{"latency tripled", 1000, 350, failsWhen(0, 3, everything), 15 * time.Second},
+		{"latency doubled", 1000, 350, failsWhen(0, 2, allRequests), 45 * time.Second},
+		{"latency tripled", 1000, 350, failsWhen(0, 3, allRequests), 15 * time.Second},
 		{"during warm-up: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
 		{"after 10 minutes: 1 in 5 fails", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
 	} {
@@ -277,7 +277,7 @@
 			faultStart = 10 * time.Minute
 		}
 		for seed := range int64(runs) {
-			sim := newSimulation(seed, 12, c.rate, testSpec(c.share))
+			sim := newSimulation(seed, 12, c.rate, newTestSpec(c.share))
 			sim.fault = c.fault
 			requestsBeforeFault := 0
 			for sim.rollbackReason == "" && sim.now < faultStart+2*time.Minute {
@@ -304,7 +304,7 @@
 // report twice. It must count each outcome once. A new coordinator must have all counts after the last report of each node.
 func TestReportOrderDoesNotChangeCounts(t *testing.T) {
 	t.Parallel()
-	sim := newSimulation(1, 2, 400, testSpec(5000))
+	sim := newSimulation(1, 2, 400, newTestSpec(5000))
 	sim.lostReportsOfSeven = 7
 	var reports []Report
 	for range 3 {
@@ -362,7 +362,7 @@
 // node has sent reports, even if the reports come from several incarnations of this node.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
-	e := startEntry(testSpec(5000), 0, "")
+	e := newStartEntry(newTestSpec(5000), 0, "")
 	_, err := s.Apply(e)
 	must.NoError(t, err)
 	coordinator := NewCoordinator(2, 0)
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -52,8 +52,8 @@
 // Scope is the tenant, route and zone of a request. An empty field means that the request has none.
 type Scope struct{ Tenant, Route, Zone string }
 
-// matches reports whether the limits include a request with the given scope.
-func (l *Limits) matches(s Scope) bool {
+// includes reports whether the limits include a request with the given scope.
+func (l *Limits) includes(s Scope) bool {
 	allows := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	return allows(l.Tenants, s.Tenant) && allows(l.Routes, s.Route) && allows(l.Zones, s.Zone)
 }
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -16,7 +16,7 @@
 )
 
 // testSpec returns a spec that advances by time, with one step for each share in basis points.
-func testSpec(shares ...int) *Spec {
+func newTestSpec(shares ...int) *Spec {
 	spec := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
 	for _, share := range shares {
 		spec.Steps = append(spec.Steps, Step{Share: share, MinTime: Duration(10 * time.Second), Requests: 10})
@@ -24,7 +24,7 @@
 	return spec
 }
 
-func startEntry(spec *Spec, revision uint64, callID string) *Entry {
+func newStartEntry(spec *Spec, revision uint64, callID string) *Entry {
 	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
 
@@ -68,7 +68,7 @@
 		names[i] = fmt.Appendf(nil, "2b9wu3fexd9dnn2c%d", i)
 	}
 	for n := range Number(5) {
-		for i, got := range testSpec(shares...).CountCanaryUsers(n, names) {
+		for i, got := range newTestSpec(shares...).CountCanaryUsers(n, names) {
 			// The documented deviation is that of independent random choices for each user. The limit is five standard deviations plus 5.
 			p := float64(shares[i]) / FullShare
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
@@ -80,7 +80,7 @@
 	for step := range shares {
 		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, FencingToken: 1}
 		if step == 0 {
-			e = startEntry(testSpec(shares...), 0, "")
+			e = newStartEntry(newTestSpec(shares...), 0, "")
 			e.Capacity.Canary = 1000
 		}
 		v, err := s.Apply(e)
@@ -105,7 +105,7 @@
 
 // Guards against errors that a caller can distinguish only by their text. Each error must match its exported variable or type.
 func TestErrorsAreTyped(t *testing.T) {
-	spec := testSpec(500, 100)
+	spec := newTestSpec(500, 100)
 	var field *logentry.FieldError
 	must.True(t, errors.As(spec.Normalize(), &field))
 	must.Eq(t, logentry.FieldError{Field: "steps[1].share", Reason: "100 is not above the share of the previous step"}, *field)
@@ -115,7 +115,7 @@
 	must.ErrorIs(t, (&Entry{Verb: Start, Service: "libro"}).Validate(), ErrNoSpec)
 	must.ErrorIs(t, (&Entry{Verb: Pause, Reason: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
 	c := NewCoordinator(1, 0)
-	must.NoError(t, applyAll(s, startEntry(testSpec(100), 0, "")))
+	must.NoError(t, applyAll(s, newStartEntry(newTestSpec(100), 0, "")))
 	c.ApplyState(s)
 	for _, broken := range []struct {
 		evidence []byte
@@ -130,16 +130,16 @@
 // call must not be applied twice.
 func TestEntryOrderKeepsInvariants(t *testing.T) {
 	t.Parallel()
-	next := testSpec(100)
+	next := newTestSpec(100)
 	next.New = "v3"
 	entries := []*Entry{
-		startEntry(testSpec(100, 500), 0, "ana-1"),
-		startEntry(next, 0, "ben-1"),
+		newStartEntry(newTestSpec(100, 500), 0, "ana-1"),
+		newStartEntry(next, 0, "ben-1"),
 		{Verb: Advance, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
 		{Verb: Rollback, Service: "libro", Number: 1, Step: 1, FencingToken: 1},
 		{Verb: Rollback, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
 		{Verb: Pause, Service: "libro", Number: 1, Revision: 1, CallID: "ben-2"},
-		startEntry(next, 2, "ben-3"),
+		newStartEntry(next, 2, "ben-3"),
 	}
 	var applyInEveryOrder func(left []int, done []int)
 	applyInEveryOrder = func(left []int, done []int) {
@@ -195,7 +195,7 @@
 		if r := s.Run("libro"); r != nil {
 			revision = r.Revision
 		}
-		v, err := s.Apply(startEntry(testSpec(100), revision, fmt.Sprint(i)))
+		v, err := s.Apply(newStartEntry(newTestSpec(100), revision, fmt.Sprint(i)))
 		must.Eq(t, routing.Accepted, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
@@ -229,7 +229,7 @@
 // rollback.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
-	e := startEntry(testSpec(9000), 0, "")
+	e := newStartEntry(newTestSpec(9000), 0, "")
 	e.Capacity.Canary = 10
 	_, err := s.Apply(e)
 	must.ErrorContains(t, err, "steps[0].share") // the canary lacks the capacity for the share
@@ -264,7 +264,7 @@
 	must.Eq(t, 0, node.CanaryShare("libro"))
 	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
-	must.NoError(t, applyAll(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
+	must.NoError(t, applyAll(done, newStartEntry(newTestSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
 	// A third version is on the baseline at a node that was never connected, because another roll-out may have rolled that version back.
 	for i, want := range []Side{Baseline, Canary} {
 		ended := NewNode("a", 1, 0)
@@ -295,7 +295,7 @@
 	t.Parallel()
 	for _, fromOldSnapshot := range []bool{false, true} {
 		s := NewState()
-		s.Apply(startEntry(testSpec(100), 0, "first"))
+		s.Apply(newStartEntry(newTestSpec(100), 0, "first"))
 		pause := func(i int) *Entry {
 			return &Entry{Verb: Pause, Service: "libro", Number: 1, CallID: fmt.Sprint("m", i)}
 		}
@@ -318,15 +318,15 @@
 				v, _ := s.Decide(pause(i))
 				must.Eq(t, routing.Duplicate, v)
 			}
-			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
+			v, err := s.Decide(newStartEntry(newTestSpec(100), 0, "first"))
 			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
 			// This call names the current revision, so it cannot have been applied before.
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second"))
+			v, _ = s.Decide(newStartEntry(newTestSpec(100), s.Run("libro").Revision, "second"))
 			must.Eq(t, routing.Conflict, v)
-			other := testSpec(100)
+			other := newTestSpec(100)
 			other.Service = "other"
-			v, _ = s.Decide(startEntry(other, 0, "third"))
+			v, _ = s.Decide(newStartEntry(other, 0, "third"))
 			must.Eq(t, routing.Accepted, v)
 			s, err = Restore(s.Snapshot())
 			must.NoError(t, err)
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -69,7 +69,7 @@
 func Start(env Environment, rng *rand.Rand, config Config) *Callers {
 	c := &Callers{env: env, rng: rng, config: config}
 	for i := range config.Lockers {
-		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquire()
+		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquireLock()
 	}
 	for i := range numberCallers {
 		c.requestNumbers(fmt.Sprintf("c%d", i), counterName(i%counterCount))
--- a/internal/lab/callers/locker.go
+++ b/internal/lab/callers/locker.go
@@ -18,8 +18,8 @@
 	expiresAt    time.Duration // time at which the lease expires, by the clock of the Environment
 }
 
-// acquire tries to acquire a lock until it succeeds or the callers stop.
-func (l *locker) acquire() {
+// acquireLock tries to acquire a lock until it succeeds or the callers stop.
+func (l *locker) acquireLock() {
 	c := l.callers
 	if c.stopping {
 		return
@@ -35,7 +35,7 @@
 	call := coordination.Call{Operation: coordination.LockAcquire, Name: l.lock, Holder: l.name, TTL: l.ttl}
 	c.env.Call(l.name, call, func(r *callhistory.Record) {
 		if !r.Succeeded() {
-			c.env.After(c.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquire)
+			c.env.After(c.randomDuration(10*time.Millisecond, 200*time.Millisecond), l.acquireLock)
 			return
 		}
 		l.fencingToken = r.Result.FencingToken
@@ -51,18 +51,18 @@
 	draw := c.rng.IntN(20)
 	switch {
 	case draw == 0: // the locker crashes and restarts under the same name
-		c.env.After(c.randomDuration(0, 3*time.Second), l.acquire)
+		c.env.After(c.randomDuration(0, 3*time.Second), l.acquireLock)
 	case draw == 1: // the locker pauses for longer than its lease and then sends a renewal
-		c.env.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renew(0) })
+		c.env.After(l.ttl+c.randomDuration(0, 500*time.Millisecond), func() { l.renewLease(0) })
 	case renewals == 0 || c.stopping:
-		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { l.release(c.rng.IntN(3)) })
+		c.env.After(c.randomDuration(0, 100*time.Millisecond), func() { l.releaseLock(c.rng.IntN(3)) })
 	default:
-		c.env.After(l.ttl/3, func() { l.renew(renewals - 1) })
+		c.env.After(l.ttl/3, func() { l.renewLease(renewals - 1) })
 	}
 }
 
-// renew renews the lease, sometimes with a shorter duration, and then keeps the lock for the given number of further renewals.
-func (l *locker) renew(renewals int) {
+// renewLease renews the lease, sometimes with a shorter duration, and then keeps the lock for the given number of further renewals.
+func (l *locker) renewLease(renewals int) {
 	c := l.callers
 	sent, ttl := c.env.Now(), l.ttl
 	if c.rng.IntN(5) == 0 {
@@ -75,22 +75,22 @@
 			l.expiresAt = max(l.expiresAt, sent+ttl)
 			l.keepLock(renewals)
 		case shouldRetry(r) && c.env.Now() < l.expiresAt:
-			l.renew(renewals)
+			l.renewLease(renewals)
 		default:
-			l.acquire()
+			l.acquireLock()
 		}
 	})
 }
 
-// release releases the lock with at most the given number of retries. The locker then acquires the next lock, even if no answer arrived.
-func (l *locker) release(retries int) {
+// releaseLock releases the lock with at most the given number of retries. The locker then acquires the next lock, even if no answer arrived.
+func (l *locker) releaseLock(retries int) {
 	c := l.callers
 	call := coordination.Call{Operation: coordination.LockRelease, Name: l.lock, Holder: l.name, FencingToken: l.fencingToken}
 	c.env.Call(l.name, call, func(r *callhistory.Record) {
 		if shouldRetry(r) && retries > 0 {
-			l.release(retries - 1)
+			l.releaseLock(retries - 1)
 			return
 		}
-		l.acquire()
+		l.acquireLock()
 	})
 }
--- a/internal/lab/callhistory/doc.go
+++ b/internal/lab/callhistory/doc.go
@@ -16,5 +16,5 @@
 // Linearizable checks counters and keys a second time with the porcupine library. It checks whether the calls can be put in an order that
 // explains their answers, where each call takes effect between the time it was sent and the time it ended.
 //
-// A call without a definite answer may have taken effect at any time after it was sent. It therefore breaks no rule by itself.
+// A call without a definite answer may have taken effect at any time after it was sent. Such a call therefore breaks no rule by itself.
 package callhistory
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -12,7 +12,7 @@
 // results may contain the revision of a put that got no answer.
 func (c *checker) checkKeys() {
 	c.collectPuts()
-	c.observeWatches()
+	c.recordWatchEvents()
 	reads := c.recordsByName[coordination.KeyRead]
 	for _, key := range sortedKeys(reads) {
 		for _, r := range succeededRecords(reads[key]) {
@@ -23,9 +23,9 @@
 	c.checkRevisionsIncrease()
 	byKey := c.putsByKey()
 	for _, key := range sortedKeys(byKey) {
-		c.checkConditions(byKey[key])
+		c.checkConditionalPuts(byKey[key])
 		c.checkConflicts(byKey[key])
-		c.checkReads(key, byKey[key])
+		c.checkStaleReads(key, byKey[key])
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// checkRevisionsIncrease checks that the revisions in each key group increase. The put counts as sent when its first call was
+// checkRevisionsIncrease checks that the revisions in each key group increase. A put counts as sent when its first call was
 // sent, because a repeated put returns the revision of the first one.
 func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
@@ -60,14 +60,14 @@
 	}
 }
 
-// checkConditions checks each conditional put. No other put of the key may have a revision between the revision that the conditional put
+// checkConditionalPuts checks each conditional put. No other put of the key may have a revision between the revision that the conditional put
 // expected and the revision that the conditional put got.
-func (c *checker) checkConditions(puts []*put) {
+func (c *checker) checkConditionalPuts(puts []*put) {
 	for _, p := range puts {
 		for expected := range p.expectedRevisions {
 			for _, other := range puts {
 				if r := other.revision(); r > expected && r < p.revision() {
-					c.addViolation(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d",
+					c.addViolation(RuleOrder, "put of value %q to key %s expected revision %d and got revision %d, but another put has revision %d",
 						p.value, p.key, expected, p.revision(), r)
 				}
 			}
@@ -96,8 +96,8 @@
 	}
 }
 
-// checkReads checks that no read returns a lower revision than a put that was acknowledged before the read was sent.
-func (c *checker) checkReads(key string, puts []*put) {
+// checkStaleReads checks that no read returns a lower revision than a put that was acknowledged before the read was sent.
+func (c *checker) checkStaleReads(key string, puts []*put) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
 		if !r.Succeeded() && (!r.IsDefinite() || r.Result.Status != coordination.StatusNotFound) {
 			continue
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -50,7 +50,7 @@
 func Linearizable(history []*Record, timeout time.Duration) (violations []Violation, undecided []string) {
 	c := newChecker(history, Config{})
 	c.collectPuts()
-	c.observeWatches()
+	c.recordWatchEvents()
 	check := func(name string, calls []porcupine.Operation) {
 		switch porcupine.CheckOperationsTimeout(callModel, calls, timeout) {
 		case porcupine.Illegal:
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -80,8 +80,8 @@
 	return byKey
 }
 
-// observeWatches calls recordObserved for each event that a watch returned.
-func (c *checker) observeWatches() {
+// recordWatchEvents calls recordObserved for each event that a watch returned.
+func (c *checker) recordWatchEvents() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedKeys(byGroup) {
 		for _, r := range byGroup[group] {
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -14,15 +14,15 @@
 				c.checkWatchResult(group, r)
 			}
 			if r.IsDefinite() && r.Result.Status == coordination.StatusCompacted {
-				c.checkCompacted(r, byGroup[group])
+				c.checkCompactedWatch(r, byGroup[group])
 			}
 		}
 	}
 }
 
-// checkWatchResult checks that the revisions of a watch's events increase, that they lie between the revision that the watch started after
-// and the revision that it returned, and that no put in this range is missing. It also checks that the watch does not miss a put that was
-// acknowledged before the watch was sent.
+// checkWatchResult checks the events that a watch returned. The revisions of the events must increase, and must lie between the revision
+// that the watch started after and the revision that the watch returned. No put in this range may be missing. A watch without events must
+// not miss a put that was acknowledged before the watch was sent.
 func (c *checker) checkWatchResult(group string, r *Record) {
 	after, end := r.Call.AfterRevision, r.Result.Revision
 	if end < after {
@@ -52,9 +52,9 @@
 	}
 }
 
-// checkCompacted checks a watch that failed with StatusCompacted. The watch must not have started after a revision that an earlier watch
+// checkCompactedWatch checks a watch that failed with StatusCompacted. The watch must not have started after a revision that an earlier watch
 // returned within the history retention.
-func (c *checker) checkCompacted(r *Record, watches []*Record) {
+func (c *checker) checkCompactedWatch(r *Record, watches []*Record) {
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
 		if wasGiven && w.endedBefore(r) && r.Sent-w.Ended < c.config.HistoryRetention {
