--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -53,7 +53,7 @@
 	// ErrTextTooLong means that a text field is longer than maxTextBytes.
 	ErrTextTooLong = errors.Errorf("text field of a roll-out entry is longer than %d bytes", maxTextBytes)
 	// ErrNoSpec means that a Start entry has no spec, has a spec for another service, or has a fencing token, which only a coordinator's
-	// entries have. The field is called order in the API.
+	// entries have. The API calls the spec order.
 	ErrNoSpec = errors.New("order: missing, or for another service")
 )
 
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -33,8 +33,8 @@
 // failureRatios are the assumed ratios of the canary's failure rate to the baseline's failure rate. Each test has one bet for each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. The initial wealth of each
-// bet is 1 here. The function totalWealth multiplies the wealth by the actual stakes.
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. The initial wealth of each bet is 1 here. The
+// function totalWealth multiplies the wealth by the actual stakes.
 type logWealth [testCount][ratioCount]float64
 
 // evidence is the evidence against the canary for each window, in nats (units of the natural logarithm). perBackend is the part that comes
@@ -79,11 +79,11 @@
 	clear(s.perBackend)
 }
 
-// addSpan adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are equal,
-// each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on a ratio
-// (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the baseline. The
-// expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected effect of these
-// additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
+// addSpan adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are
+// equal, each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on
+// a ratio (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the
+// baseline. The expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected
+// effect of these additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
 func (e *evidence) addSpan(s *span, toleratedRate func(test int) float64) {
 	for test := range testCount {
 		n0, n1 := float64(s.outcomes[Baseline][test]), float64(s.outcomes[Canary][test])
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// WasEverConnected reports whether this incarnation has been connected to the core. BackendSide may return other sides after the first
-// connection.
+// WasEverConnected reports whether this incarnation of the node has ever been connected to the core. The results of BackendSide may change
+// with the first connection.
 func (n *Node) WasEverConnected() bool { return n.everConnected }
 
 // HasRollouts reports whether this node knows of any roll-out.
@@ -135,7 +135,7 @@
 	return 0
 }
 
-// IsCanaryExcluded reports whether requests must not be attempted on the canary, neither first nor later attempts.
+// IsCanaryExcluded reports whether this node must not send any attempt of a request to the canary.
 func (n *Node) IsCanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
@@ -168,7 +168,8 @@
 	}
 }
 
-// RunningNumber returns the number of a service's running roll-out, which RecordOutcome needs. It returns 0 if none is running.
+// RunningNumber returns the number of a service's running roll-out, which RecordOutcome needs. It returns 0 if the service has no running
+// roll-out.
 func (n *Node) RunningNumber(service string) Number {
 	if local := n.rollouts[service]; local != nil && local.counter != nil {
 		return local.Number
--- a/internal/gateway/rollout/quantile.go
+++ b/internal/gateway/rollout/quantile.go
@@ -3,7 +3,7 @@
 import "math"
 
 // quantileEstimate estimates a quantile of the baseline's latency on one route. A latency above the estimate raises the estimate. Any other
-// latency lowers the estimate. The steps are weighted so that the estimate converges to the quantile.
+// latency lowers the estimate. Both changes are weighted so that the estimate converges to the quantile.
 type quantileEstimate struct {
 	seconds float64 // current estimate
 	samples int     // number of observed responses
@@ -11,7 +11,7 @@
 
 const (
 	minQuantileSamples = 20   // number of responses needed before the estimate is used
-	minQuantileStep    = 0.04 // smallest relative change per response; the first changes are larger
+	minQuantileStep    = 0.04 // smallest relative step of the estimate before it is weighted; the first steps are larger
 	maxQuantileRoutes  = 512  // maximum number of routes with an estimate; latencies of further routes are not compared
 	// latencySlack is the additional latency in seconds that is always tolerated. A backend in another zone or a new connection can cause it.
 	latencySlack = 0.010
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -51,7 +51,7 @@
 	Reason  string
 }
 
-// Propose proposes an entry for the replicated log. Only this node may propose it. The host must not forward it to another node.
+// Propose proposes an entry for the replicated log. Only this node may propose the entry, so the host must not forward it to another node.
 type Propose struct{ Entry Entry }
 
 // BroadcastLap sends a Lap to all nodes, including this one. The message may be lost.
@@ -65,6 +65,7 @@
 // actionQueue holds the actions that the host has not yet taken.
 type actionQueue struct{ actions []Action }
 
+// pushAction appends an action to the queue.
 func (a *actionQueue) pushAction(action Action) { a.actions = append(a.actions, action) }
 
 // Next removes and returns the next action. It returns false if there is none.
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -15,7 +15,7 @@
 	"clovergap/internal/gateway/routing"
 )
 
-// testSpec returns a spec that advances by time, with one step for each share in basis points.
+// newTestSpec returns a spec that advances by time, with one step for each share in basis points.
 func newTestSpec(shares ...int) *Spec {
 	spec := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
 	for _, share := range shares {
@@ -24,6 +24,7 @@
 	return spec
 }
 
+// newStartEntry returns an operator's start entry. revision is the revision of the previous roll-out, or 0 if there is none.
 func newStartEntry(spec *Spec, revision uint64, callID string) *Entry {
 	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
--- a/internal/gateway/rollout/stored.go
+++ b/internal/gateway/rollout/stored.go
@@ -2,10 +2,10 @@
 
 import "clovergap/internal/gateway/logentry"
 
-// Types that gob encodes for the log, for snapshots and for reports. Gob identifies fields by name, and other versions of the program read
-// the data. These field names must therefore not change, even if the corresponding fields of other types are renamed. Spec and its parts are
-// stored without conversion, so their field names must not change either. A comment at a field contains the name of the corresponding field in
-// the type that the rest of the package uses.
+// Types that gob encodes for the log, for snapshots and for reports. Gob identifies fields by name, and other versions of the program
+// read the data. These field names must therefore not change, even if the corresponding fields of other types are renamed. Spec and its
+// parts are stored without conversion, so their field names must not change either. A comment at a field contains the name of the
+// corresponding field in the type that the rest of the package uses.
 type (
 	storedEntry struct {
 		Verb    Verb
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// checkConditionalPuts checks each conditional put. No other put of the key may have a revision between the revision that the conditional put
-// expected and the revision that the conditional put got.
+// checkConditionalPuts checks each conditional put. No other put of the key may have a revision between the revision that the conditional
+// put expected and the revision that the conditional put got.
 func (c *checker) checkConditionalPuts(puts []*put) {
 	for _, p := range puts {
 		for expected := range p.expectedRevisions {
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -53,8 +53,8 @@
 }
 
 // holdIntervals returns the intervals in which callers consider themselves the holder of a lock. An interval starts when a successful
-// answer to an acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at
-// which the last successful call was sent.
+// answer to an acquire call arrives. The interval ends when the caller sends a release or when the lease expires. The lease counts from
+// the time at which the last successful call was sent.
 func holdIntervals(records []*Record) (ended []holdInterval) {
 	open := map[string]*holdInterval{}
 	for _, r := range records {
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// checkCompactedWatch checks a watch that failed with StatusCompacted. The watch must not have started after a revision that an earlier watch
-// returned within the history retention.
+// checkCompactedWatch checks a watch that failed with StatusCompacted. The watch must not have started after a revision that an earlier
+// watch returned within the history retention.
 func (c *checker) checkCompactedWatch(r *Record, watches []*Record) {
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
