--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -19,9 +19,9 @@
 // NodeID identifies a node by its slot number.
 type NodeID int
 
-// Coordinator evaluates the reports of all nodes and proposes entries for the replicated log. It runs on the core's leader. A new
-// coordinator with a higher fencing token may replace it at any time, because the next report of each node contains all the data that the
-// new coordinator needs.
+// Coordinator evaluates the reports of all nodes and proposes entries for the replicated log. A Coordinator runs only on the core's
+// leader. A new coordinator with a higher fencing token may replace it at any time, because the next report of each node contains all the
+// data that the new coordinator needs.
 type Coordinator struct {
 	actionQueue
 	now          time.Duration
@@ -63,7 +63,8 @@
 	found *findings
 }
 
-// NewCoordinator returns a coordinator without active roll-outs. Its fencing token must be higher than that of every earlier coordinator.
+// NewCoordinator returns a coordinator without active roll-outs. The fencing token must be higher than the tokens of all earlier
+// coordinators.
 func NewCoordinator(fencingToken uint64, now time.Duration) *Coordinator {
 	return &Coordinator{now: now, fencingToken: fencingToken, active: map[string]*activeRollout{}}
 }
@@ -137,7 +138,7 @@
 }
 
 // Counts returns the outcomes of all nodes in the current step of a service's roll-out, and the suspicion. The suspicion is
-// the total wealth of the bets divided by suspicionWealth (see evaluate). It is at least 1 if a node has rolled back locally. The
+// the total wealth of the bets divided by suspicionWealth (see evaluate). The suspicion is at least 1 if a node has rolled back locally. The
 // coordinator does not advance to the next step while the suspicion is 1 or more. Both results are 0 if no roll-out of the service runs.
 func (c *Coordinator) Counts(service string) (counts Counts, suspicion float64) {
 	a := c.active[service]
@@ -233,8 +234,8 @@
 	}
 }
 
-// propose queues a proposal for the replicated log, at most one per proposalRetryInterval. It marks the roll-out as changed, so that a later
-// Tick evaluates the reports again and repeats a proposal that the log has not delivered.
+// propose queues a proposal for the replicated log, at most one per proposalRetryInterval. propose marks the roll-out as changed, so that
+// a later Tick evaluates the reports again and repeats a proposal that the log has not delivered.
 func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, why string) {
 	a.changed = true
 	if c.now-a.proposedAt < proposalRetryInterval {
--- a/internal/gateway/rollout/counter.go
+++ b/internal/gateway/rollout/counter.go
@@ -15,7 +15,7 @@
 	changed        bool                         // outcomes were recorded after the last evaluation
 }
 
-// newStepCounter returns a counter without outcomes. Its first span starts now.
+// newStepCounter returns a counter without outcomes. The first span of the counter starts now.
 func newStepCounter(criteria FailureCriteria, now time.Duration) *stepCounter {
 	s := &stepCounter{criteria: criteria, spanStart: now, evidence: newEvidence(), span: span{perBackend: map[uint64]*[testCount]uint32{}},
 		latencyByRoute: map[uint32]*quantileEstimate{}, canaryBackends: map[uint64]struct{}{}}
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordTest counts an outcome for one test in the current span. It attributes failures of the canary to their backend.
+// recordTest counts an outcome for one test in the current span. It also counts failures of the canary by backend.
 func (s *stepCounter) recordTest(o Outcome, test int, failed bool) {
 	s.span.outcomes[o.Side][test]++
 	if !failed {
--- a/internal/gateway/rollout/doc.go
+++ b/internal/gateway/rollout/doc.go
@@ -5,7 +5,7 @@
 // # Terms
 //
 // The versions of a service are the generations that its backends send in their heartbeats. The baseline is the version that the users come
-// from. The canary is the version that they move to. A Spec is an operator's specification of a roll-out. It contains both versions, the
+// from. The canary is the version that they move to. A Spec is an operator's specification of a roll-out. A Spec contains both versions, the
 // steps (shares of the users in basis points), limits on the affected traffic, and the FailureCriteria. The core is the group of nodes that
 // replicates the log and elects a leader (see package membership). A Run is a roll-out in the core's log, with its Spec, phase, step and
 // history. An Outcome is the result of a request's first attempt. Later attempts are not compared.
@@ -55,7 +55,7 @@
 //
 // # Stored and sent names
 //
-// Gob encodes the entries and snapshots in the log and the reports between nodes. It identifies fields by name, and other versions of the
+// Gob encodes the entries and snapshots in the log and the reports between nodes. Gob identifies fields by name, and other versions of the
 // program read the data. stored.go therefore defines separate types with the original field names, and functions that convert them to and
 // from the types that the code uses. Lap is sent and Spec is stored without conversion.
 package rollout
--- a/internal/gateway/rollout/evaluate.go
+++ b/internal/gateway/rollout/evaluate.go
@@ -16,7 +16,7 @@
 // next step.
 const suspicionWealth = 20
 
-// Fractions of the initial stake for the tests. They add up to 1.
+// Fractions of the total stake with which the bets of the tests start. The fractions add up to 1 over all tests, groups and zones.
 const (
 	overallStake  = 0.15                           // failures of each kind of request
 	latencyStake  = 0.10                           // slow responses of each kind of request
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -58,8 +58,9 @@
 	return wealth
 }
 
-// Outcomes are collected for a span before they are added to the evidence. The span is short if the canary has enough outcomes. A longer
-// span is needed otherwise, because one failure among few outcomes adds little evidence, whatever the ratio of the bet.
+// Outcomes are collected for a span before they are added to the evidence. The span is short if the canary has enough outcomes. If the
+// canary has fewer outcomes, a longer span is needed, because one failure among few outcomes adds little evidence, whatever the ratio of
+// the bet.
 const (
 	shortSpan         = 500 * time.Millisecond
 	longSpan          = 4 * shortSpan
@@ -138,8 +139,9 @@
 // evidenceUnitsPerNat is the resolution of encoded evidence. Values are rounded in the direction that makes a rollback less likely.
 const evidenceUnitsPerNat = 64
 
-// encode returns the binary form of the evidence. It has one record for each test and window with a value other than 0. A record is one
-// byte with the test and the window, the backend as a varint (0 for the total) and the evidence of the bet on each ratio as a varint.
+// encode returns the binary form of the evidence. The binary form has one record for each test and window with a value other than 0. A
+// record is one byte with the test and the window, the backend as a varint (0 for the total) and the evidence of the bet on each ratio as
+// a varint.
 func (e *evidence) encode() []byte {
 	var b []byte
 	put := func(backend uint64, window, test int, wealth *[ratioCount]float64, round func(float64) float64) {
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -24,7 +24,7 @@
 type localRollout struct {
 	Run
 	salt uint64 // result of hashSalt for this roll-out
-	// rolledBack is true once this node has rolled back locally. It stays true for the rest of this incarnation.
+	// rolledBack is true once this node has rolled back locally. rolledBack stays true for the rest of this incarnation.
 	rolledBack        bool
 	counter           *stepCounter // nil if the roll-out is not running
 	lap               int          // number of the current lap, counted from 1
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -92,8 +92,8 @@
 	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
 }
 
-// LatencyQuantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. It returns 0 if
-// there are no responses.
+// LatencyQuantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. LatencyQuantile
+// returns 0 if there are no responses.
 func (t *Tally) LatencyQuantile(fraction float64) time.Duration {
 	total := uint32(0)
 	for _, n := range t.Latencies {
--- a/internal/gateway/rollout/report.go
+++ b/internal/gateway/rollout/report.go
@@ -2,9 +2,9 @@
 
 import "github.com/go-faster/errors"
 
-// Report holds everything that one incarnation of a node has gathered in the current step. It contains totals, not the changes since the
-// last report. The report with the highest Seq replaces all earlier ones, so that lost, duplicated and delayed reports do no harm, and a
-// new coordinator has all data after the next round of reports. WireReport is the form that is sent between nodes.
+// Report holds everything that one incarnation of a node has gathered in the current step. A report contains totals, not the changes
+// since the last report. The report with the highest Seq replaces all earlier ones, so that lost, duplicated and delayed reports do no
+// harm, and a new coordinator has all data after the next round of reports. WireReport is the form that is sent between nodes.
 type Report struct {
 	Service        string
 	Number         Number
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -24,8 +24,8 @@
 	// rate is the number of requests per second over all nodes. Three of ten requests are writes.
 	rate float64
 	// failureRate is the fraction of requests that fails on both sides.
-	failureRate  float64
-	backendSpeed map[uint64]float64 // latency factor of each backend
+	failureRate          float64
+	backendLatencyFactor map[uint64]float64 // random factor, by backend number
 	// commonFactors returns the factors by which the failure rate and the latency of both sides are multiplied.
 	commonFactors func(now time.Duration) (fails, slower float64)
 	// fault returns the failure rate that is added for a request, and a factor on its latency.
@@ -47,7 +47,7 @@
 // newSimulation returns a simulation with a started roll-out and connected nodes. The rate is in requests per second over all nodes.
 func newSimulation(seed int64, nodes int, rate float64, spec *Spec) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), rate: rate, failureRate: 0.004, state: NewState(),
-		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, lostReportsOfSeven: 1}
+		coordinator: NewCoordinator(1, 0), backendLatencyFactor: map[uint64]float64{}, lostReportsOfSeven: 1}
 	sim.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
 	sim.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
 	e := newStartEntry(spec, 0, "")
@@ -61,7 +61,7 @@
 		sim.nodes = append(sim.nodes, node)
 	}
 	for b := range uint64(baselineBackendCount + canaryBackendCount) {
-		sim.backendSpeed[b+1] = math.Exp(0.15 * sim.rng.NormFloat64())
+		sim.backendLatencyFactor[b+1] = math.Exp(0.15 * sim.rng.NormFloat64())
 	}
 	sim.applyState()
 	return sim
@@ -135,7 +135,7 @@
 		s.canaryRequests++
 	}
 	fails, slower := s.fault(s.now, &outcome, nodeIndex%3, tenant)
-	took := 0.12 * s.backendSpeed[outcome.Backend] * latencyFactor * slower * math.Exp(0.4*s.rng.NormFloat64())
+	took := 0.12 * s.backendLatencyFactor[outcome.Backend] * latencyFactor * slower * math.Exp(0.4*s.rng.NormFloat64())
 	outcome.Latency = time.Duration(took * float64(time.Second))
 	if outcome.WarmingUp {
 		outcome.Latency *= 3
@@ -301,7 +301,7 @@
 }
 
 // Guards against counts that depend on the order of reports. A coordinator receives every subset of the reports in every order, and each
-// report twice. It must count each outcome once. A new coordinator must have all counts after the last report of each node.
+// report twice. The coordinator must count each outcome once. A new coordinator must have all counts after the last report of each node.
 func TestReportOrderDoesNotChangeCounts(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(1, 2, 400, newTestSpec(5000))
--- a/internal/gateway/rollout/spec.go
+++ b/internal/gateway/rollout/spec.go
@@ -11,7 +11,7 @@
 // FullShare is the share of all users. Shares are in basis points (1/10000).
 const FullShare = 10000
 
-// Number identifies a roll-out. It is unique over all services. 0 means no roll-out.
+// Number identifies a roll-out. Each roll-out has a number that no other roll-out of any service has. 0 means no roll-out.
 type Number uint64
 
 // Duration is a duration that is written with its unit in JSON.
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -61,7 +61,7 @@
 	maxHistory  = 48 // history entries of one roll-out
 )
 
-// State is the replicated state of all roll-outs. It results from the entries of the replicated log and is the same at all nodes.
+// State is the replicated state of all roll-outs. The state results from the entries of the replicated log and is the same at all nodes.
 type State struct {
 	LastNumber   Number                // number of the newest roll-out of all services
 	Revision     uint64                // increases with each accepted entry
--- a/internal/gateway/rollout/versions_test.go
+++ b/internal/gateway/rollout/versions_test.go
@@ -12,10 +12,10 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// The files testdata/before.* contain data that the previous version stored and sent. This is commit dd5a45a of 2 December 2026, before
-// the fields of the types were renamed. The files are entry (an operator's start entry), verdict (a rollback entry with all fields),
-// snapshot (a snapshot with an ended and a paused roll-out), marks (the same snapshot with the list of call IDs that still earlier
-// versions stored), report and lap.
+// The files testdata/before.* contain data that the previous version stored and sent. The previous version is commit dd5a45a of 2
+// December 2026, before the fields of the types were renamed. The files are entry (an operator's start entry), verdict (a rollback entry
+// with all fields), snapshot (a snapshot with an ended and a paused roll-out), marks (the same snapshot with the list of call IDs that
+// still earlier versions stored), report and lap.
 
 // previousVersionBytes returns the content of the file testdata/before.<name>.
 func previousVersionBytes(t *testing.T, name string) []byte {
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -15,7 +15,7 @@
 	Now() time.Duration
 	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
-	// Call sends a call to some node. It invokes done once, after the call has ended or the caller has given it up. The record contains the
+	// Call sends a call to some node. Call invokes done once, after the call has ended or the caller has given it up. The record contains the
 	// call and its answer.
 	Call(caller string, c coordination.Call, done func(*callhistory.Record))
 }
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -15,7 +15,8 @@
 	name    string
 }
 
-// readAndPut reads a random key and usually puts a new value to the key. It repeats this until the callers stop.
+// readAndPut reads a random key and usually puts a new value to the key. A random delay later, the editor starts
+// again with readAndPut, until the callers stop.
 func (e *editor) readAndPut() {
 	c := e.callers
 	if c.stopping {
--- a/internal/lab/callhistory/doc.go
+++ b/internal/lab/callhistory/doc.go
@@ -13,8 +13,8 @@
 //   - LOST: A watch returns each put that was acknowledged before the watch was sent. A watch can resume from a revision for as long as the
 //     history is retained (Config.HistoryRetention). The calls of the final audit of package callers are answered.
 //
-// Linearizable checks counters and keys a second time with the porcupine library. It checks whether the calls can be put in an order that
-// explains their answers, where each call takes effect between the time it was sent and the time it ended.
+// Linearizable checks counters and keys a second time with the porcupine library. Linearizable checks whether the calls can be put in an
+// order that explains their answers, where each call takes effect between the time it was sent and the time it ended.
 //
 // A call without a definite answer may have taken effect at any time after it was sent. Such a call therefore breaks no rule by itself.
 package callhistory
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -61,8 +61,8 @@
 	return result
 }
 
-// TestCheckReportsEachRule guards against a check that misses a broken rule. It checks that Check reports the rule that each faulty history
-// breaks, and reports nothing for a history without faults.
+// TestCheckReportsEachRule guards against a check that misses a broken rule. The test checks that Check reports the rule that each faulty
+// history breaks, and reports nothing for a history without faults.
 func TestCheckReportsEachRule(t *testing.T) {
 	conflict := coordination.Result{Status: coordination.StatusConflict, Revision: 1}
 	for name, testCase := range map[string]struct {
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -153,8 +153,8 @@
 	must.Eq(t, 0, n.requestCount("Heartbeat"))
 }
 
-// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. This happens when the response that grants
-// the lock takes longer than the lease.
+// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. The lease expires before
+// Lock returns if the response that grants the lock takes longer than the lease.
 func TestLockFailsWhenLeaseHasExpired(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -15,7 +15,7 @@
 	// renewalsPerTTL is the number of renewals that a session attempts per lease duration, so that the lease survives one failed renewal.
 	renewalsPerTTL = 3
 	// expiryMarginDivisor sets how long before the lease's expiry a session ends. The margin is the lease duration divided by this number,
-	// one twentieth. It lets work that is in progress stop before the lease expires.
+	// one twentieth. The margin lets work that is in progress stop before the lease expires.
 	expiryMarginDivisor = 20
 )
 
@@ -89,7 +89,7 @@
 	return strconv.FormatInt(d.Milliseconds(), 10) + "ms"
 }
 
-// Fence returns the fencing token of the session. It is higher than the tokens of all former holders of the lock.
+// Fence returns the fencing token of the session. The token is higher than the tokens of all former holders of the lock.
 func (s *Session) Fence() uint64 { return s.fencingToken }
 
 // Context returns a context that ends when the session ends. context.Cause returns the reason, which is ErrLost, ErrFinished or the cause of
