--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -8,8 +8,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Indexes of the tests that compare both versions in a step. For each kind of request there is a test of the failures of all users and
-// one for each group of tenants. The tests of slow responses, one for each kind of request, come last.
+// Indexes of the tests that compare both versions in a step. For each kind of request, the first test compares the failures of all users,
+// and the next tenantGroups tests compare the failures of one group of tenants each. The tests of slow responses, one for each kind of
+// request, come last.
 const (
 	tenantGroups = 16 // a tenant's group is chosen by a hash
 	failureTests = 1 + tenantGroups
@@ -18,9 +19,9 @@
 )
 
 const (
-	ratioCount  = 4
-	windowCount = 2
-	maxBackends = 32 // backends of the canary that one node's evidence distinguishes
+	ratioCount  = 4  // number of failureRatios
+	windowCount = 2  // number of windows: stepWindow and lapWindow
+	maxBackends = 32 // maximum number of the canary's backends for which one node keeps separate evidence
 )
 
 // Windows over which evidence is added up.
@@ -32,8 +33,8 @@
 // failureRatios are the assumed ratios of the canary's failure rate to the baseline's failure rate. Each test has one bet for each ratio.
 var failureRatios = [ratioCount]float64{1.4, 2.2, 6, 40}
 
-// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. Each bet counts with a stake of 1 here. The wealth
-// function multiplies the result by the stakes.
+// logWealth is the natural logarithm of the wealth of each test's bets, by ratio. The initial wealth of each bet is 1 here. The
+// function totalWealth multiplies the wealth by the actual stakes.
 type logWealth [testCount][ratioCount]float64
 
 // evidence is the evidence against the canary for each window, in nats (units of the natural logarithm). perBackend is the part that comes
@@ -43,10 +44,12 @@
 	perBackend map[uint64]*[windowCount]logWealth
 }
 
+// newEvidence returns evidence without outcomes.
 func newEvidence() evidence { return evidence{perBackend: map[uint64]*[windowCount]logWealth{}} }
 
-// backend returns the part of the evidence that comes from one backend's failures. It adds an empty part if there is none.
-func (e *evidence) backend(id uint64) *[windowCount]logWealth {
+// ensureBackend returns the part of the evidence that comes from the failures of a backend. It first adds an empty part if the backend has
+// none.
+func (e *evidence) ensureBackend(id uint64) *[windowCount]logWealth {
 	wealth := e.perBackend[id]
 	if wealth == nil {
 		wealth = new([windowCount]logWealth)
@@ -55,16 +58,17 @@
 	return wealth
 }
 
-// Outcomes are collected for a span before they are added to the evidence. The span is short if the canary has enough outcomes. A longer
-// span is needed otherwise, because one failure among few outcomes adds little evidence, whatever the ratio of the bet.
+// Outcomes are collected for a span before they are added to the evidence. The span is short if the canary has enough outcomes. If the
+// canary has fewer outcomes, a longer span is needed, because one failure among few outcomes adds little evidence, whatever the ratio of
+// the bet.
 const (
 	shortSpan         = 500 * time.Millisecond
 	longSpan          = 4 * shortSpan
 	shortSpanOutcomes = 10 // outcomes of the canary
 )
 
-// span counts the outcomes of one time span at one node. They are compared only with each other, so that a fault that affects both sides
-// in this span at this node cancels out.
+// span counts the outcomes of one time span at one node. Outcomes are compared only with outcomes of the same span and node, so that a fault
+// that affects both sides in this span at this node cancels out.
 type span struct {
 	outcomes, failures [2][testCount]uint32 // by Side and test
 	perBackend         map[uint64]*[testCount]uint32
@@ -76,12 +80,12 @@
 	clear(s.perBackend)
 }
 
-// add adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are equal,
-// each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on a ratio
-// (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the baseline. The
-// expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected effect of these
-// additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
-func (e *evidence) add(s *span, toleratedRate func(test int) float64) {
+// addSpan adds a span to the evidence. n0 is the number of outcomes of the baseline, and n1 is that of the canary. If the versions are
+// equal, each failure is on the canary with probability n1/(n0+n1), given the number of failures on both sides. The wealth of the bet on
+// a ratio (see the package comment) is multiplied by c1 = ratio*c0 for each failure of the canary and by c0 for each failure of the
+// baseline. The expected factor is at most 1. toleratedRate returns the rate of additional failures that a test tolerates. The expected
+// effect of these additional failures is subtracted. docs/rollouts.md explains why the product of the factors does not grow by chance.
+func (e *evidence) addSpan(s *span, toleratedRate func(test int) float64) {
 	for test := range testCount {
 		n0, n1 := float64(s.outcomes[Baseline][test]), float64(s.outcomes[Canary][test])
 		if n0 == 0 || n1 == 0 {
@@ -95,18 +99,18 @@
 			for w := range e.total {
 				e.total[w][test][i] += change
 			}
-			e.addBackends(s, test, i, gain)
+			e.addBackendFailures(s, test, i, gain)
 		}
 	}
 }
 
-// addBackends adds the failures of a test to the evidence of the backends on which they occurred.
-func (e *evidence) addBackends(s *span, test, ratio int, gain float64) {
+// addBackendFailures adds the failures of a test to the evidence of the backends on which they occurred.
+func (e *evidence) addBackendFailures(s *span, test, ratio int, gain float64) {
 	for id, failures := range s.perBackend {
 		if failures[test] == 0 {
 			continue
 		}
-		wealth := e.backend(id)
+		wealth := e.ensureBackend(id)
 		for w := range wealth {
 			wealth[w][test][ratio] += float64(failures[test]) * gain
 		}
@@ -135,8 +139,9 @@
 // evidenceUnitsPerNat is the resolution of encoded evidence. Values are rounded in the direction that makes a rollback less likely.
 const evidenceUnitsPerNat = 64
 
-// encode returns the binary form of the evidence. It has one record for each test and window with a value other than 0. A record is one
-// byte with the test and the window, the backend as a varint (0 for the total) and the evidence of the bet on each ratio as a varint.
+// encode returns the binary form of the evidence. The binary form has one record for each test and window with a value other than 0. A
+// record is one byte with the test and the window, the backend as a varint (0 for the total) and the evidence of the bet on each ratio as
+// a varint.
 func (e *evidence) encode() []byte {
 	var b []byte
 	put := func(backend uint64, window, test int, wealth *[ratioCount]float64, round func(float64) float64) {
@@ -159,14 +164,14 @@
 	return b
 }
 
-// Errors of decoding evidence.
+// Errors of decodeEvidence.
 var (
 	ErrMalformedEvidence = errors.New("decode evidence: malformed record header")
 	ErrTruncatedEvidence = errors.New("decode evidence: truncated record")
 	ErrTooManyBackends   = errors.New("decode evidence: too many backends")
 )
 
-// decodeEvidence decodes the result of encode.
+// decodeEvidence decodes the result of evidence.encode.
 func decodeEvidence(b []byte) (*evidence, error) {
 	e := newEvidence()
 	for len(b) > 0 {
@@ -181,7 +186,7 @@
 			if e.perBackend[id] == nil && len(e.perBackend) >= maxBackends {
 				return nil, ErrTooManyBackends
 			}
-			wealth = &e.backend(id)[window][test]
+			wealth = &e.ensureBackend(id)[window][test]
 		}
 		for i := range wealth {
 			nats, n := binary.Varint(b)
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -17,18 +17,18 @@
 	incarnation   uint64
 	everConnected bool // this incarnation has been connected to the core
 	disconnected  bool
-	rollouts      map[string]*localRollout // by service
+	rollouts      map[string]*localRollout // by service name
 }
 
 // localRollout is a node's view of one roll-out.
 type localRollout struct {
 	Run
-	salt uint64
-	// rolledBack is true once this node has rolled back locally. It stays true for the rest of this incarnation.
+	salt uint64 // result of hashSalt for this roll-out
+	// rolledBack is true once this node has rolled back locally. rolledBack stays true for the rest of this incarnation.
 	rolledBack        bool
 	counter           *stepCounter // nil if the roll-out is not running
-	lap               int
-	seq               uint64 // sequence number of the last report
+	lap               int          // number of the current lap, counted from 1
+	seq               uint64       // sequence number of the last report
 	reportedAt        time.Duration
 	unreported        bool // counts have changed since the last report
 	reportImmediately bool // the next report does not wait for reportInterval
@@ -65,7 +65,7 @@
 	}
 }
 
-// resetCounter starts new counts and evidence. It keeps the latency estimates.
+// resetCounter replaces the counter by one without counts and evidence. The new counter takes over the latency estimates.
 func (l *localRollout) resetCounter(now time.Duration) {
 	previous := l.counter
 	l.counter = newStepCounter(l.Spec.Failing, now)
@@ -104,17 +104,18 @@
 	}
 }
 
-// EverConnected reports whether this incarnation has been connected to the core. BackendSide may return other sides after the first
-// connection.
-func (n *Node) EverConnected() bool { return n.everConnected }
+// WasEverConnected reports whether this incarnation of the node has ever been connected to the core. The results of BackendSide may change
+// with the first connection.
+func (n *Node) WasEverConnected() bool { return n.everConnected }
 
 // HasRollouts reports whether this node knows of any roll-out.
 func (n *Node) HasRollouts() bool { return len(n.rollouts) > 0 }
 
-// BackendSide returns the side of a backend with a generation from its heartbeats. A backend that does not have the canary's generation is
-// on the baseline. Once a roll-out is finished, a backend that does not have the baseline's generation is on the canary, because a third
-// version may follow without another roll-out. The rule for a finished roll-out does not apply at a node that has never been connected. That
-// node may not know of a newer roll-out that tests the third version or that has rolled the third version back.
+// BackendSide returns the side of a backend. The generation is the version that the backend sends in its heartbeats. A backend with the
+// canary's generation is on the canary, and every other backend is on the baseline. Once a roll-out is finished, a backend with a third
+// generation is also on the canary, because a third version may follow without another roll-out. The rule for a third generation does not
+// apply at a node that has never been connected to the core. Such a node may not know of a newer roll-out that tests the third version or
+// that has rolled the third version back.
 func (n *Node) BackendSide(service, generation string) Side {
 	local := n.rollouts[service]
 	switch {
@@ -126,16 +127,16 @@
 	return Baseline
 }
 
-// Share returns the share of users that this node sends to the canary now, in basis points of the users within the roll-out's limits.
-func (n *Node) Share(service string) int {
+// CanaryShare returns the share of users that this node sends to the canary now, in basis points of the users within the roll-out's limits.
+func (n *Node) CanaryShare(service string) int {
 	if local := n.rollouts[service]; local != nil && !local.rolledBack && (n.everConnected || local.Phase == Finished) {
-		return local.Run.Share()
+		return local.Run.CanaryShare()
 	}
 	return 0
 }
 
-// CanaryExcluded reports whether requests must not be attempted on the canary, neither first nor later attempts.
-func (n *Node) CanaryExcluded(service string) bool {
+// IsCanaryExcluded reports whether this node must not send any attempt of a request to the canary.
+func (n *Node) IsCanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
 }
@@ -144,12 +145,12 @@
 // without a user (empty user) stays on the baseline while a roll-out runs.
 func (n *Node) ChooseSide(service string, user []byte, in Scope) (side Side, compared bool) {
 	local := n.rollouts[service]
-	switch share := n.Share(service); {
+	switch share := n.CanaryShare(service); {
 	case local == nil || local.Phase == RolledBack:
 		return Baseline, false
 	case local.Phase == Finished:
 		return Canary, false
-	case len(user) == 0 || !local.Spec.Limits.matches(in):
+	case len(user) == 0 || !local.Spec.Limits.includes(in):
 		return Baseline, false
 	case userPosition(local.salt, user) < share:
 		return Canary, true
@@ -158,7 +159,7 @@
 	}
 }
 
-// RecordOutcome records the outcome of a compared request. The number is that of the roll-out that was running when the request started.
+// RecordOutcome records the outcome of a compared request. The number identifies the roll-out that was running when the request started.
 // RecordOutcome ignores the outcome if that roll-out no longer runs, or if the outcome has no backend or an unknown cause.
 func (n *Node) RecordOutcome(service string, number Number, o Outcome) {
 	if local := n.rollouts[service]; local != nil && local.Number == number && local.counter != nil && o.Cause < causeCount && o.Backend != 0 {
@@ -167,7 +168,8 @@
 	}
 }
 
-// RunningNumber returns the number of a service's running roll-out, which RecordOutcome needs. It returns 0 if none is running.
+// RunningNumber returns the number of a service's running roll-out, which RecordOutcome needs. It returns 0 if the service has no running
+// roll-out.
 func (n *Node) RunningNumber(service string) Number {
 	if local := n.rollouts[service]; local != nil && local.counter != nil {
 		return local.Number
@@ -175,7 +177,7 @@
 	return 0
 }
 
-// NextDeadline returns the next time at which Tick has work to do, and false if no roll-out runs.
+// NextDeadline returns the earliest time at which a span ends and Tick has work to do. ok is false if no roll-out runs.
 func (n *Node) NextDeadline() (at time.Duration, ok bool) {
 	for _, local := range n.rollouts {
 		if local.counter != nil && (!ok || local.counter.spanEnd() < at) {
@@ -199,16 +201,16 @@
 		}
 		local.counter.closeSpan(n.now)
 		if local.counter.changed && !local.rolledBack {
-			n.evaluate(local)
+			n.evaluateLocally(local)
 		}
 		if local.unreported && !n.disconnected && (n.now-local.reportedAt >= reportInterval || local.reportImmediately) {
-			n.push(SendReport{n.report(local)})
+			n.pushAction(SendReport{n.nextReport(local)})
 		}
 	}
 }
 
-// evaluate evaluates the evidence of this node alone. It rolls back locally if this evidence shows that the canary fails.
-func (n *Node) evaluate(local *localRollout) {
+// evaluateLocally evaluates the evidence of this node alone. It rolls back locally if this evidence shows that the canary fails.
+func (n *Node) evaluateLocally(local *localRollout) {
 	c := local.counter
 	c.changed = false
 	own := []*findings{{evidence: &c.evidence, zone: n.zone, canaryBackends: len(c.canaryBackends)}}
@@ -216,12 +218,12 @@
 	local.reportImmediately = suspicion >= 1
 	if score >= 1 {
 		local.rolledBack, local.unreported, local.reportImmediately = true, true, true
-		n.push(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
+		n.pushAction(LocalRollback{local.Spec.Service, local.Number, c.counts.describe()})
 	}
 }
 
-// report returns the next report on a roll-out and increments its sequence number.
-func (n *Node) report(local *localRollout) Report {
+// nextReport returns the next report on a roll-out and increments its sequence number.
+func (n *Node) nextReport(local *localRollout) Report {
 	c := local.counter
 	local.unreported, local.reportedAt = false, n.now
 	local.seq++
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -9,7 +9,7 @@
 // Kind is the kind of a request.
 type Kind uint8
 
-// The kinds of requests. A read may be executed more than once, a write at most once.
+// The kinds of requests. A read may be executed more than once. A write must be executed at most once.
 const (
 	Read Kind = iota
 	Write
@@ -39,8 +39,8 @@
 	Kind Kind
 	// Route is a number that this node assigns to the route. Latencies are estimated for each route.
 	Route     uint32
-	Tenant    uint32 // same number at every node
-	Backend   uint64 // same number at every node, not 0
+	Tenant    uint32 // number of the tenant, the same at every node
+	Backend   uint64 // number of the backend, the same at every node and never 0
 	Cause     Cause
 	Latency   time.Duration // time from sending the request to the complete response
 	WarmingUp bool          // the backend is in slow start, so its latency is not compared
@@ -69,6 +69,7 @@
 	}
 }
 
+// add adds the counts of other to t.
 func (t *Tally) add(other *Tally) {
 	t.Outcomes += other.Outcomes
 	for i := range t.ByCause {
@@ -85,15 +86,15 @@
 	t.ByCause[cause]++
 }
 
-// recordLatency counts a response in the bucket of its latency.
+// recordLatency increments the latency bucket to which a response with the given latency belongs.
 func (t *Tally) recordLatency(latency time.Duration) {
 	bucket := int(math.Ceil(2 * math.Log2(latency.Seconds()*1000)))
 	t.Latencies[min(max(bucket, 0), LatencyBuckets-1)]++
 }
 
-// Quantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. Quantile returns 0 if
-// there are no responses.
-func (t *Tally) Quantile(fraction float64) time.Duration {
+// LatencyQuantile returns an upper bound of the latency of a fraction of the responses. The fraction is between 0 and 1. LatencyQuantile
+// returns 0 if there are no responses.
+func (t *Tally) LatencyQuantile(fraction float64) time.Duration {
 	total := uint32(0)
 	for _, n := range t.Latencies {
 		total += n
@@ -107,8 +108,9 @@
 	return 0
 }
 
-// failures returns the number of outcomes that are a fault of the version, independent of the FailureCriteria.
-func (t *Tally) failures() uint32 {
+// failureCount returns the number of outcomes with the cause ServerError, NoResponse or InvalidResponse. It does not depend on the
+// FailureCriteria.
+func (t *Tally) failureCount() uint32 {
 	return t.ByCause[ServerError] + t.ByCause[NoResponse] + t.ByCause[InvalidResponse]
 }
 
@@ -120,8 +122,8 @@
 		if canary.Outcomes == 0 {
 			continue
 		}
-		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failures(), canary.Outcomes,
-			baseline.failures(), baseline.Outcomes, canary.Quantile(0.9).Round(time.Millisecond), baseline.Quantile(0.9).Round(time.Millisecond))
+		text += fmt.Sprintf("%s: new %d of %d failed, old %d of %d; p90 latency new %v, old %v. ", name, canary.failureCount(), canary.Outcomes,
+			baseline.failureCount(), baseline.Outcomes, canary.LatencyQuantile(0.9).Round(time.Millisecond), baseline.LatencyQuantile(0.9).Round(time.Millisecond))
 	}
 	return text[:max(len(text)-1, 0)]
 }
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -21,33 +21,36 @@
 	nodes       []*Node
 	coordinator *Coordinator
 	state       *State
-	// rate is the number of requests per second over all nodes. Three in ten are writes.
+	// rate is the number of requests per second over all nodes. Three of ten requests are writes.
 	rate float64
 	// failureRate is the fraction of requests that fails on both sides.
-	failureRate   float64
-	backendSpeed  map[uint64]float64
-	commonFactors func(now time.Duration) (fails, slower float64) // factors for both sides
-	fault         func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
-	now           time.Duration
+	failureRate          float64
+	backendLatencyFactor map[uint64]float64 // random factor, by backend number
+	// commonFactors returns the factors by which the failure rate and the latency of both sides are multiplied.
+	commonFactors func(now time.Duration) (fails, slower float64)
+	// fault returns the failure rate that is added for a request, and a factor on its latency.
+	fault func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
+	now   time.Duration
 
-	canaryRequests, canaryFailures int // requests sent to the canary, and those that failed there
-	reportsLostOfSeven             int // average number of lost reports out of seven
-	evidenceBytes                  int
-	rollbackReason                 string
-	localRollbacks                 int
+	canaryRequests, canaryFailures int    // number of requests sent to the canary, and number of these requests that failed
+	lostReportsOfSeven             int    // average number of lost reports out of seven sent ones
+	evidenceBytes                  int    // size of the evidence in all reports
+	rollbackReason                 string // empty until the coordinator rolls back
+	localRollbacks                 int    // number of local rollbacks at all nodes
 }
 
 const (
-	baselineCount, canaryCount = 7, 6
-	tick                       = 250 * time.Millisecond
+	baselineBackendCount, canaryBackendCount = 7, 6
+	tick                                     = 250 * time.Millisecond
 )
 
+// newSimulation returns a simulation with a started roll-out and connected nodes. The rate is in requests per second over all nodes.
 func newSimulation(seed int64, nodes int, rate float64, spec *Spec) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), rate: rate, failureRate: 0.004, state: NewState(),
-		coordinator: NewCoordinator(1, 0), backendSpeed: map[uint64]float64{}, reportsLostOfSeven: 1}
+		coordinator: NewCoordinator(1, 0), backendLatencyFactor: map[uint64]float64{}, lostReportsOfSeven: 1}
 	sim.commonFactors = func(time.Duration) (float64, float64) { return 1, 1 }
 	sim.fault = func(time.Duration, *Outcome, int, int) (float64, float64) { return 0, 1 }
-	e := startEntry(spec, 0, "")
+	e := newStartEntry(spec, 0, "")
 	e.Capacity.Canary = 1000
 	if _, err := sim.state.Apply(e); err != nil {
 		panic(err)
@@ -57,13 +60,14 @@
 		node.SetConnected(true)
 		sim.nodes = append(sim.nodes, node)
 	}
-	for b := range uint64(baselineCount + canaryCount) {
-		sim.backendSpeed[b+1] = math.Exp(0.15 * sim.rng.NormFloat64())
+	for b := range uint64(baselineBackendCount + canaryBackendCount) {
+		sim.backendLatencyFactor[b+1] = math.Exp(0.15 * sim.rng.NormFloat64())
 	}
 	sim.applyState()
 	return sim
 }
 
+// applyState passes the replicated state to the coordinator and to all nodes.
 func (s *simulation) applyState() {
 	s.coordinator.ApplyState(s.state)
 	for _, node := range s.nodes {
@@ -71,22 +75,22 @@
 	}
 }
 
-// step simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the coordinator
-// proposes. The entries take effect at the nodes with the next tick.
-func (s *simulation) step() {
+// simulateTick simulates one tick. It runs the requests of each node, delivers the nodes' reports, and applies the entries that the
+// coordinator proposes. The entries take effect at the nodes with the next tick.
+func (s *simulation) simulateTick() {
 	s.now += tick
 	failureFactor, latencyFactor := s.commonFactors(s.now)
 	for i, node := range s.nodes {
 		n := s.rate * tick.Seconds() / float64(len(s.nodes))
 		for range int(n + s.rng.Float64()) {
-			s.request(i, node, failureFactor, latencyFactor)
+			s.simulateRequest(i, node, failureFactor, latencyFactor)
 		}
 		node.Tick(s.now)
 		for a, ok := node.Next(); ok; a, ok = node.Next() {
 			switch a := a.(type) {
 			case SendReport:
 				s.evidenceBytes += len(a.Report.Evidence)
-				if s.rng.Intn(7) >= s.reportsLostOfSeven {
+				if s.rng.Intn(7) >= s.lostReportsOfSeven {
 					if err := s.coordinator.HandleReport(NodeID(i), a.Report); err != nil {
 						panic(err)
 					}
@@ -115,22 +119,23 @@
 	}
 }
 
-func (s *simulation) request(nodeIndex int, n *Node, failureFactor, latencyFactor float64) {
+// simulateRequest simulates one request of a random user at a node and records its outcome.
+func (s *simulation) simulateRequest(nodeIndex int, n *Node, failureFactor, latencyFactor float64) {
 	user := s.rng.Intn(4000)
 	name := binary.LittleEndian.AppendUint16(nil, uint16(user))
 	tenant := user % 8
 	side, compared := n.ChooseSide("libro", name, Scope{})
-	outcome := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + s.rng.Intn(baselineCount))}
+	outcome := Outcome{Side: side, Tenant: uint32(tenant), Backend: uint64(1 + s.rng.Intn(baselineBackendCount))}
 	if s.rng.Float64() < 0.3 {
 		outcome.Kind, outcome.Route = Write, 1
 	}
 	if side == Canary {
-		outcome.Backend = uint64(1 + baselineCount + s.rng.Intn(canaryCount))
+		outcome.Backend = uint64(1 + baselineBackendCount + s.rng.Intn(canaryBackendCount))
 		outcome.WarmingUp = s.now < 8*time.Second
 		s.canaryRequests++
 	}
 	fails, slower := s.fault(s.now, &outcome, nodeIndex%3, tenant)
-	took := 0.12 * s.backendSpeed[outcome.Backend] * latencyFactor * slower * math.Exp(0.4*s.rng.NormFloat64())
+	took := 0.12 * s.backendLatencyFactor[outcome.Backend] * latencyFactor * slower * math.Exp(0.4*s.rng.NormFloat64())
 	outcome.Latency = time.Duration(took * float64(time.Second))
 	if outcome.WarmingUp {
 		outcome.Latency *= 3
@@ -146,7 +151,8 @@
 	}
 }
 
-// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps, with the usual faults of a site.
+// Guards against false positives. It simulates 1,000 roll-outs of a good version in four steps. Each roll-out may have a random fault
+// that is not caused by the version.
 func TestGoodVersionIsNotRolledBack(t *testing.T) {
 	t.Parallel()
 	const runs = 1000
@@ -156,11 +162,11 @@
 	for part := range 8 {
 		all.Go(func() {
 			for seed := part; seed < runs; seed += 8 {
-				sim := newSimulation(int64(seed), 6, 150, testSpec(100, 500, 2500, 5000))
+				sim := newSimulation(int64(seed), 6, 150, newTestSpec(100, 500, 2500, 5000))
 				sim.failureRate = 0.004 + 0.026*sim.rng.Float64()
-				injectFaults(sim)
+				injectRandomFault(sim)
 				for sim.now < 45*time.Second && sim.rollbackReason == "" {
-					sim.step()
+					sim.simulateTick()
 				}
 				mu.Lock()
 				if localRollbacks += sim.localRollbacks; sim.rollbackReason != "" {
@@ -182,24 +188,24 @@
 	must.GreaterEq(t, runs*8/10, finished)
 }
 
-// injectFaults adds one kind of fault at random, or none. The kinds are a period with more failures and higher latency on both sides, a
+// injectRandomFault adds a fault of a random kind, or none. The kinds are a period with more failures and higher latency on both sides, a
 // backend that crashes, a backend that is faulty all the time, and a zone whose nodes have network problems.
-func injectFaults(sim *simulation) {
+func injectRandomFault(sim *simulation) {
 	faultStart := time.Duration(5+sim.rng.Intn(30)) * time.Second
-	active := func(now, long time.Duration) bool { return now >= faultStart && now < faultStart+long }
-	faultyBackend := uint64(1 + sim.rng.Intn(baselineCount+canaryCount))
+	isActive := func(now, long time.Duration) bool { return now >= faultStart && now < faultStart+long }
+	faultyBackend := uint64(1 + sim.rng.Intn(baselineBackendCount+canaryBackendCount))
 	unhealthyZone := sim.rng.Intn(3)
 	switch sim.rng.Intn(5) {
 	case 0:
 		sim.commonFactors = func(now time.Duration) (float64, float64) {
-			if active(now, 6*time.Second) {
+			if isActive(now, 6*time.Second) {
 				return 15, 2.5
 			}
 			return 1, 1
 		}
-	case 1: // requests that the load balancer still sends to a crashed backend
+	case 1: // a backend crashes, and the load balancer sends requests to it for another second
 		sim.fault = func(now time.Duration, e *Outcome, _, _ int) (float64, float64) {
-			if e.Backend == faultyBackend && active(now, time.Second) {
+			if e.Backend == faultyBackend && isActive(now, time.Second) {
 				return 1, 1
 			}
 			return 0, 1
@@ -213,7 +219,7 @@
 		}
 	case 3: // the nodes of one zone have network problems with both sides
 		sim.fault = func(now time.Duration, _ *Outcome, zone, _ int) (float64, float64) {
-			if zone == unhealthyZone && active(now, 5*time.Second) {
+			if zone == unhealthyZone && isActive(now, 5*time.Second) {
 				return 0.3, 1.5
 			}
 			return 0, 1
@@ -226,7 +232,7 @@
 	t.Parallel()
 	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
 	type only = func(now time.Duration, e *Outcome, zone, tenant int) bool
-	always := func(fails, slower float64, only only) fault {
+	failsWhen := func(fails, slower float64, only only) fault {
 		return func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64) {
 			if e.Side == Canary && only(now, e, zone, tenant) {
 				return fails, slower
@@ -238,7 +244,7 @@
 	oneTenant := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
 	warmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
 	afterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
-	everything := func(time.Duration, *Outcome, int, int) bool { return true }
+	allRequests := func(time.Duration, *Outcome, int, int) bool { return true }
 	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
@@ -247,21 +253,21 @@
 		fault fault
 		most  time.Duration // documented limit of the median time to the rollback
 	}{
-		{"all writes, one in five", 100, 350, always(.2, 1, writes), 80 * time.Second},
-		{"all writes, one in five", 1000, 350, always(.2, 1, writes), 8 * time.Second},
-		{"all writes, one in five", 5000, 350, always(.2, 1, writes), 5 * time.Second},
-		{"all writes, one in five", 9000, 350, always(.2, 1, writes), 15 * time.Second},
-		{"all writes, one in five", 1000, 3500, always(.2, 1, writes), 3 * time.Second},
-		{"everything, wrong bytes", 100, 350, always(1, 1, everything), 6 * time.Second},
-		{"everything, wrong bytes", 5000, 350, always(1, 1, everything), 3 * time.Second},
-		{"one in 200", 2500, 3500, always(.005, 1, everything), 90 * time.Second},
-		{"one in 50", 2500, 350, always(.02, 1, everything), 40 * time.Second},
-		{"one tenant of eight, half", 1000, 350, always(.5, 1, oneTenant), 25 * time.Second},
-		{"one zone of three, one in five", 1000, 350, always(.2, 1, oneZone), 15 * time.Second},
-		{"twice as slow", 1000, 350, always(0, 2, everything), 45 * time.Second},
-		{"three times as slow", 1000, 350, always(0, 3, everything), 15 * time.Second},
-		{"only when cold, one in five", 1000, 350, always(.2, 1, warmingUp), 8 * time.Second},
-		{"after ten minutes, one in five", 1000, 60, always(.2, 1, afterTenMinutes), 60 * time.Second},
+		{"1 in 5 writes fails", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
+		{"1 in 5 writes fails", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
+		{"1 in 5 writes fails", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
+		{"1 in 5 writes fails", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
+		{"1 in 5 writes fails", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
+		{"all requests fail", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
+		{"all requests fail", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
+		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, allRequests), 90 * time.Second},
+		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, allRequests), 40 * time.Second},
+		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
+		{"1 zone of 3: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
+		{"latency doubled", 1000, 350, failsWhen(0, 2, allRequests), 45 * time.Second},
+		{"latency tripled", 1000, 350, failsWhen(0, 3, allRequests), 15 * time.Second},
+		{"during warm-up: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
+		{"after 10 minutes: 1 in 5 fails", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
 	} {
 		const runs = 5
 		var took []time.Duration
@@ -271,11 +277,11 @@
 			faultStart = 10 * time.Minute
 		}
 		for seed := range int64(runs) {
-			sim := newSimulation(seed, 12, c.rate, testSpec(c.share))
+			sim := newSimulation(seed, 12, c.rate, newTestSpec(c.share))
 			sim.fault = c.fault
 			requestsBeforeFault := 0
 			for sim.rollbackReason == "" && sim.now < faultStart+2*time.Minute {
-				if sim.step(); sim.now == faultStart {
+				if sim.simulateTick(); sim.now == faultStart {
 					requestsBeforeFault = sim.canaryRequests
 				}
 			}
@@ -285,7 +291,8 @@
 		slices.Sort(took)
 		slices.Sort(requests)
 		slices.Sort(failures)
-		t.Logf("%-30s | %2d %% | %4.0f/s | %4.1f s, %4.1f s | %4d, %4d | %3d | local rollbacks %d", c.name, c.share/100, c.rate,
+		t.Logf("%-30s | share %2d %% | %4.0f/s | time median %4.1f s, max %4.1f s | requests median %4d, max %4d | failures median %3d | local rollbacks %d",
+			c.name, c.share/100, c.rate,
 			took[2].Seconds(), took[4].Seconds(), requests[2], requests[4], failures[2], localRollbacks)
 		if took[2] > c.most {
 			t.Errorf("%s: median time to the rollback is %v, which is above the limit", c.name, took[2])
@@ -293,19 +300,19 @@
 	}
 }
 
-// Guards against counts that depend on the order of reports. A coordinator receives reports that are lost, duplicated and reordered in
-// every way, and counts each outcome once. A new coordinator has all counts after one more report of each node.
+// Guards against counts that depend on the order of reports. A coordinator receives every subset of the reports in every order, and each
+// report twice. The coordinator must count each outcome once. A new coordinator must have all counts after the last report of each node.
 func TestReportOrderDoesNotChangeCounts(t *testing.T) {
 	t.Parallel()
-	sim := newSimulation(1, 2, 400, testSpec(5000))
-	sim.reportsLostOfSeven = 7
+	sim := newSimulation(1, 2, 400, newTestSpec(5000))
+	sim.lostReportsOfSeven = 7
 	var reports []Report
 	for range 3 {
 		for range 4 {
 			sim.now += tick
 			for i, node := range sim.nodes {
 				for range 40 {
-					sim.request(i, node, 1, 1)
+					sim.simulateRequest(i, node, 1, 1)
 				}
 				node.Tick(sim.now)
 				for a, ok := node.Next(); ok; a, ok = node.Next() {
@@ -322,8 +329,8 @@
 	want.Add(&reports[4].Counts)
 	want.Add(&reports[5].Counts)
 	must.Eq(t, uint32(480*2), want[0][0].Outcomes+want[0][1].Outcomes+want[1][0].Outcomes+want[1][1].Outcomes)
-	var each func(left, done []int)
-	each = func(left, done []int) {
+	var deliverInEveryOrder func(left, done []int)
+	deliverInEveryOrder = func(left, done []int) {
 		coordinator := NewCoordinator(2, sim.now)
 		coordinator.ApplyState(sim.state)
 		for _, i := range append(done, done...) {
@@ -340,10 +347,10 @@
 		}
 		for i := range left {
 			rest := slices.Delete(slices.Clone(left), i, i+1)
-			each(rest, append(slices.Clone(done), left[i]))
+			deliverInEveryOrder(rest, append(slices.Clone(done), left[i]))
 		}
 	}
-	each([]int{0, 1, 2, 3, 4, 5}, nil)
+	deliverInEveryOrder([]int{0, 1, 2, 3, 4, 5}, nil)
 	broken := reports[5]
 	broken.Evidence = broken.Evidence[:len(broken.Evidence)-1]
 	coordinator := NewCoordinator(2, 0)
@@ -351,18 +358,18 @@
 	must.Error(t, coordinator.HandleReport(1, broken))
 }
 
-// Guards against a rollback by all nodes on the evidence of one faulty node. The rollback must not occur while only this node has sent
-// reports, even if the reports come from several incarnations of this node.
+// Guards against a rollback by all nodes on the evidence of one faulty node. The coordinator must not propose a rollback while only this
+// node has sent reports, even if the reports come from several incarnations of this node.
 func TestOneNodeDoesNotRollBack(t *testing.T) {
 	s := NewState()
-	e := startEntry(testSpec(5000), 0, "")
+	e := newStartEntry(newTestSpec(5000), 0, "")
 	_, err := s.Apply(e)
 	must.NoError(t, err)
 	coordinator := NewCoordinator(2, 0)
 	coordinator.SetNodeCount(12)
 	coordinator.ApplyState(s)
 	now := time.Duration(0)
-	reports := func(id NodeID, incarnation uint64) (rolledBack bool) {
+	reportFailuresFrom := func(id NodeID, incarnation uint64) (rolledBack bool) {
 		node := NewNode("a", incarnation, now)
 		node.ApplyState(s)
 		node.SetConnected(true)
@@ -384,7 +391,7 @@
 		}
 		return rolledBack
 	}
-	must.False(t, reports(3, 1))
-	must.False(t, reports(3, 2))
-	must.True(t, reports(4, 3)) // a second node confirms the failures
+	must.False(t, reportFailuresFrom(3, 1))
+	must.False(t, reportFailuresFrom(3, 2))
+	must.True(t, reportFailuresFrom(4, 3)) // a second node confirms the failures
 }
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -19,8 +19,8 @@
 	Finished   Phase = "finished"
 )
 
-// HistoryEntry records the effect of one log entry on a roll-out. Counts holds the outcomes of the step that the entry ended, as the
-// coordinator last knew them.
+// HistoryEntry records the effect of one log entry on a roll-out. Step is the step before the log entry, and Share is the share after it.
+// Counts holds the outcomes of that step that had been reported to the coordinator.
 type HistoryEntry struct {
 	Verb      Verb
 	Step      int
@@ -38,13 +38,13 @@
 	Spec     Spec
 	Capacity Capacity
 	Phase    Phase
-	Step     int  // from 1
+	Step     int  // current step, counted from 1
 	Paused   bool // the coordinator does not start the next step
 	History  []HistoryEntry
 }
 
-// Share returns the share of the canary, in basis points of the users within the roll-out's limits.
-func (r *Run) Share() int {
+// CanaryShare returns the share of the canary, in basis points of the users within the roll-out's limits.
+func (r *Run) CanaryShare() int {
 	switch r.Phase {
 	case Running:
 		return r.Spec.Steps[r.Step-1].Share
@@ -56,19 +56,19 @@
 
 // Limits on the size of the state.
 const (
-	maxServices = 64
-	maxEnded    = 32 // earlier roll-outs of all services
+	maxServices = 64 // services with a roll-out
+	maxEnded    = 32 // earlier roll-outs of all services together
 	maxHistory  = 48 // history entries of one roll-out
 )
 
-// State is the replicated state of all roll-outs. It results from the entries of the replicated log and is the same at all nodes.
+// State is the replicated state of all roll-outs. The state results from the entries of the replicated log and is the same at all nodes.
 type State struct {
-	LastNumber   Number // number of the newest roll-out of all services
-	Revision     uint64 // increases with each accepted entry
-	fencingToken uint64 // highest token in an accepted entry
-	runs         []Run  // newest roll-out of each service, sorted by service
-	ended        []Run  // earlier roll-outs, oldest first
-	appliedCalls *logentry.DedupWindow
+	LastNumber   Number                // number of the newest roll-out of all services
+	Revision     uint64                // increases with each accepted entry
+	fencingToken uint64                // highest token in an accepted entry
+	runs         []Run                 // newest roll-out of each service, sorted by service
+	ended        []Run                 // earlier roll-outs, oldest first
+	appliedCalls *logentry.DedupWindow // digests of the IDs of applied calls, by the revision that each call created
 }
 
 // NewState returns the state before the first entry.
@@ -84,7 +84,7 @@
 
 // Run returns the newest roll-out of a service, or nil if there is none. The caller must not modify the result.
 func (s *State) Run(service string) *Run {
-	if i, ok := s.find(service); ok {
+	if i, ok := s.findRun(service); ok {
 		return &s.runs[i]
 	}
 	return nil
@@ -93,7 +93,8 @@
 // HasRollouts reports whether any roll-out is running, or has ended and is still in force.
 func (s *State) HasRollouts() bool { return len(s.runs) > 0 }
 
-func (s *State) find(service string) (int, bool) {
+// findRun returns the index of a service's newest roll-out in s.runs. If there is none, it returns the index to insert one at and false.
+func (s *State) findRun(service string) (int, bool) {
 	return slices.BinarySearchFunc(s.runs, service, func(r Run, name string) int {
 		return strings.Compare(r.Spec.Service, name)
 	})
@@ -117,7 +118,7 @@
 	step := r.Step
 	switch e.Verb {
 	case Advance:
-		r.Step, r.Paused = e.Step, r.Paused && e.byCoordinator()
+		r.Step, r.Paused = e.Step, r.Paused && e.isFromCoordinator()
 	case Pause:
 		r.Paused = true
 	case Rollback:
@@ -125,7 +126,7 @@
 	case Finish:
 		r.Phase = Finished
 	}
-	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.Share(), Author: e.Author, UnixMilli: e.UnixMilli, Reason: e.Reason, Counts: e.Counts})
+	r.addHistory(HistoryEntry{Verb: e.Verb, Step: step, Share: r.CanaryShare(), Author: e.Author, UnixMilli: e.UnixMilli, Reason: e.Reason, Counts: e.Counts})
 	return routing.Accepted, nil
 }
 
@@ -135,7 +136,7 @@
 	r := Run{Number: s.LastNumber, Spec: *e.Spec, Capacity: e.Capacity, Phase: Running, Step: 1}
 	err := r.Spec.Normalize()
 	invariant.Assert(err == nil, "the spec of an accepted start entry is valid")
-	i, exists := s.find(e.Service)
+	i, exists := s.findRun(e.Service)
 	if !exists {
 		s.runs = slices.Insert(s.runs, i, r)
 		return
@@ -144,8 +145,10 @@
 	s.runs[i] = r
 }
 
+// addHistory appends a history entry. If the history is full, it removes the oldest entry after the first one. The first entry records the
+// operator's start and is always kept.
 func (r *Run) addHistory(h HistoryEntry) {
-	if len(r.History) == maxHistory { // the first entry, the operator's start, is kept
+	if len(r.History) == maxHistory {
 		r.History = slices.Delete(r.History, 1, 2)
 	}
 	r.History = append(r.History, h)
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -15,7 +15,8 @@
 	"clovergap/internal/gateway/routing"
 )
 
-func testSpec(shares ...int) *Spec {
+// newTestSpec returns a spec that advances by time, with one step for each share in basis points.
+func newTestSpec(shares ...int) *Spec {
 	spec := &Spec{Service: "libro", Old: "v1", New: "v2", Advance: "time"}
 	for _, share := range shares {
 		spec.Steps = append(spec.Steps, Step{Share: share, MinTime: Duration(10 * time.Second), Requests: 10})
@@ -23,11 +24,12 @@
 	return spec
 }
 
-func startEntry(spec *Spec, revision uint64, callID string) *Entry {
+// newStartEntry returns an operator's start entry. revision is the revision of the previous roll-out, or 0 if there is none.
+func newStartEntry(spec *Spec, revision uint64, callID string) *Entry {
 	return &Entry{Verb: Start, Service: spec.Service, Revision: revision, CallID: callID, Author: "ana", Spec: spec, Capacity: Capacity{100, 100, 60}}
 }
 
-// Guards against an error for an invalid spec, a lack of capacity or an unknown reference that does not name the field.
+// Guards against error messages that do not name the field. The errors are for an invalid spec, a lack of capacity and an unknown reference.
 func TestSpecErrorsNameTheirField(t *testing.T) {
 	var spec Spec
 	must.NoError(t, json.Unmarshal([]byte(`{"service":"libro","old":"v1","new":"v2",
@@ -67,18 +69,19 @@
 		names[i] = fmt.Appendf(nil, "2b9wu3fexd9dnn2c%d", i)
 	}
 	for n := range Number(5) {
-		for i, got := range testSpec(shares...).CountMoved(n, names) {
-			p := float64(shares[i]) / FullShare // the documented deviation is that of independent choices for each user
+		for i, got := range newTestSpec(shares...).CountCanaryUsers(n, names) {
+			// The documented deviation is that of independent random choices for each user. The limit is five standard deviations plus 5.
+			p := float64(shares[i]) / FullShare
 			must.InDelta(t, p*users, float64(got), 5*math.Sqrt(users*p*(1-p))+5)
 		}
 	}
-	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // not connected with each other
+	a, b := NewNode("a", 1, 0), NewNode("b", 2, 0) // the nodes exchange no messages
 	s := NewState()
 	onCanary := make([]bool, users)
 	for step := range shares {
 		e := &Entry{Verb: Advance, Service: "libro", Number: 1, Step: step + 1, FencingToken: 1}
 		if step == 0 {
-			e = startEntry(testSpec(shares...), 0, "")
+			e = newStartEntry(newTestSpec(shares...), 0, "")
 			e.Capacity.Canary = 1000
 		}
 		v, err := s.Apply(e)
@@ -101,9 +104,9 @@
 	must.True(t, MayAttempt(Canary, Baseline) && MayAttempt(Canary, Canary) && MayAttempt(Baseline, Baseline) && !MayAttempt(Baseline, Canary))
 }
 
-// Guards against errors that a caller can distinguish only by their text.
+// Guards against errors that a caller can distinguish only by their text. Each error must match its exported variable or type.
 func TestErrorsAreTyped(t *testing.T) {
-	spec := testSpec(500, 100)
+	spec := newTestSpec(500, 100)
 	var field *logentry.FieldError
 	must.True(t, errors.As(spec.Normalize(), &field))
 	must.Eq(t, logentry.FieldError{Field: "steps[1].share", Reason: "100 is not above the share of the previous step"}, *field)
@@ -113,7 +116,7 @@
 	must.ErrorIs(t, (&Entry{Verb: Start, Service: "libro"}).Validate(), ErrNoSpec)
 	must.ErrorIs(t, (&Entry{Verb: Pause, Reason: strings.Repeat("x", maxTextBytes+1)}).Validate(), ErrTextTooLong)
 	c := NewCoordinator(1, 0)
-	must.NoError(t, apply(s, startEntry(testSpec(100), 0, "")))
+	must.NoError(t, applyAll(s, newStartEntry(newTestSpec(100), 0, "")))
 	c.ApplyState(s)
 	for _, broken := range []struct {
 		evidence []byte
@@ -123,28 +126,28 @@
 	}
 }
 
-// Guards against invariants that depend on the order of entries. It applies seven entries of two operators and two coordinators in every
+// Guards against an order of entries that breaks an invariant. It applies seven entries of two operators and two coordinators in every
 // order. An ended roll-out must not run again. An entry of an old roll-out or coordinator must not change a newer roll-out. A repeated
 // call must not be applied twice.
 func TestEntryOrderKeepsInvariants(t *testing.T) {
 	t.Parallel()
-	next := testSpec(100)
+	next := newTestSpec(100)
 	next.New = "v3"
 	entries := []*Entry{
-		startEntry(testSpec(100, 500), 0, "ana-1"),
-		startEntry(next, 0, "ben-1"),
+		newStartEntry(newTestSpec(100, 500), 0, "ana-1"),
+		newStartEntry(next, 0, "ben-1"),
 		{Verb: Advance, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
 		{Verb: Rollback, Service: "libro", Number: 1, Step: 1, FencingToken: 1},
 		{Verb: Rollback, Service: "libro", Number: 1, Step: 2, FencingToken: 2},
 		{Verb: Pause, Service: "libro", Number: 1, Revision: 1, CallID: "ben-2"},
-		startEntry(next, 2, "ben-3"),
+		newStartEntry(next, 2, "ben-3"),
 	}
-	var each func(left []int, done []int)
-	each = func(left []int, done []int) {
+	var applyInEveryOrder func(left []int, done []int)
+	applyInEveryOrder = func(left []int, done []int) {
 		if len(left) > 0 {
 			for i := range left {
 				rest := append(append([]int(nil), left[:i]...), left[i+1:]...)
-				each(rest, append(append([]int(nil), done...), left[i]))
+				applyInEveryOrder(rest, append(append([]int(nil), done...), left[i]))
 			}
 			return
 		}
@@ -180,7 +183,7 @@
 			}
 		}
 	}
-	each([]int{0, 1, 2, 3, 4, 5, 6}, nil)
+	applyInEveryOrder([]int{0, 1, 2, 3, 4, 5, 6}, nil)
 }
 
 // Guards against a state that grows without limit, and against a snapshot or an entry that is not restored completely. A truncated
@@ -193,7 +196,7 @@
 		if r := s.Run("libro"); r != nil {
 			revision = r.Revision
 		}
-		v, err := s.Apply(startEntry(testSpec(100), revision, fmt.Sprint(i)))
+		v, err := s.Apply(newStartEntry(newTestSpec(100), revision, fmt.Sprint(i)))
 		must.Eq(t, routing.Accepted, v, must.Sprint(err))
 		r := s.Run("libro")
 		for range 60 {
@@ -222,12 +225,12 @@
 	must.Error(t, err)
 }
 
-// Guards against a node that sends users to the canary without knowledge of a rollback. A node that was never connected uses a share of 0.
-// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
+// Guards against a node that sends users to the canary because it does not know of a rollback. A node that was never connected uses a share
+// of 0.// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
 // rollback.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
-	e := startEntry(testSpec(9000), 0, "")
+	e := newStartEntry(newTestSpec(9000), 0, "")
 	e.Capacity.Canary = 10
 	_, err := s.Apply(e)
 	must.ErrorContains(t, err, "steps[0].share") // the canary lacks the capacity for the share
@@ -236,12 +239,13 @@
 	must.NoError(t, err)
 	user := []byte("someone")
 	node := NewNode("a", 1, 0)
-	node.ApplyState(s) // state from the node's disk; the roll-out may have been rolled back in the meantime
-	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	// The node starts with the state on its disk. The roll-out may have been rolled back since that state was written.
+	node.ApplyState(s)
+	must.True(t, node.CanaryShare("libro") == 0 && node.IsCanaryExcluded("libro"))
 	node.SetConnected(true)
-	must.Eq(t, 9000, node.Share("libro"))
+	must.Eq(t, 9000, node.CanaryShare("libro"))
 	node.SetConnected(false)
-	must.Eq(t, 9000, node.Share("libro"))
+	must.Eq(t, 9000, node.CanaryShare("libro"))
 	for now := time.Duration(0); now < 5*time.Second; now += 100 * time.Millisecond {
 		node.Tick(now)
 		for i := range 10 {
@@ -249,7 +253,7 @@
 			node.RecordOutcome("libro", 1, Outcome{Side: Canary, Kind: Write, Backend: uint64(5 + i%3), Cause: InvalidResponse})
 		}
 	}
-	must.True(t, node.Share("libro") == 0 && node.CanaryExcluded("libro"))
+	must.True(t, node.CanaryShare("libro") == 0 && node.IsCanaryExcluded("libro"))
 	side, _ := node.ChooseSide("libro", user, Scope{})
 	must.Eq(t, Baseline, side)
 	a, ok := node.Next()
@@ -258,11 +262,12 @@
 	must.StrContains(t, rollback.Reason, "writes: new")
 	node.SetConnected(true)
 	node.ApplyState(s) // the replicated share does not undo the local rollback
-	must.Eq(t, 0, node.Share("libro"))
+	must.Eq(t, 0, node.CanaryShare("libro"))
 	must.Eq(t, Baseline, node.BackendSide("libro", "v1.5"))
 	done := NewState()
-	must.NoError(t, apply(done, startEntry(testSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
-	for i, want := range []Side{Baseline, Canary} { // another roll-out may have rolled back the third version
+	must.NoError(t, applyAll(done, newStartEntry(newTestSpec(9000), 0, ""), &Entry{Verb: Finish, Service: "libro", Number: 1, Revision: 1}))
+	// A third version is on the baseline at a node that was never connected, because another roll-out may have rolled that version back.
+	for i, want := range []Side{Baseline, Canary} {
 		ended := NewNode("a", 1, 0)
 		ended.ApplyState(done)
 		ended.SetConnected(i == 1)
@@ -272,7 +277,8 @@
 	must.Eq(t, Canary, node.BackendSide("libro", "v2"))
 }
 
-func apply(s *State, all ...*Entry) error {
+// applyAll applies entries in order and stops at the first error. It gives start entries enough capacity for every share.
+func applyAll(s *State, all ...*Entry) error {
 	for _, e := range all {
 		if e.Verb == Start {
 			e.Capacity.Canary = 1000
@@ -290,7 +296,7 @@
 	t.Parallel()
 	for _, fromOldSnapshot := range []bool{false, true} {
 		s := NewState()
-		s.Apply(startEntry(testSpec(100), 0, "first"))
+		s.Apply(newStartEntry(newTestSpec(100), 0, "first"))
 		pause := func(i int) *Entry {
 			return &Entry{Verb: Pause, Service: "libro", Number: 1, CallID: fmt.Sprint("m", i)}
 		}
@@ -298,7 +304,7 @@
 			s.Apply(pause(i))
 		}
 		if fromOldSnapshot {
-			stored := s.stored()
+			stored := s.toStored()
 			for i := 300 - maxStoredCalls; i < 300; i++ {
 				stored.Marks = append(stored.Marks, pause(i).CallID)
 			}
@@ -313,14 +319,15 @@
 				v, _ := s.Decide(pause(i))
 				must.Eq(t, routing.Duplicate, v)
 			}
-			v, err := s.Decide(startEntry(testSpec(100), 0, "first"))
+			v, err := s.Decide(newStartEntry(newTestSpec(100), 0, "first"))
 			must.Eq(t, routing.Ambiguous, v)
 			must.Error(t, err)
-			v, _ = s.Decide(startEntry(testSpec(100), s.Run("libro").Revision, "second")) // the call names the current revision, so it was not applied before
+			// This call names the current revision, so it cannot have been applied before.
+			v, _ = s.Decide(newStartEntry(newTestSpec(100), s.Run("libro").Revision, "second"))
 			must.Eq(t, routing.Conflict, v)
-			other := testSpec(100)
+			other := newTestSpec(100)
 			other.Service = "other"
-			v, _ = s.Decide(startEntry(other, 0, "third"))
+			v, _ = s.Decide(newStartEntry(other, 0, "third"))
 			must.Eq(t, routing.Accepted, v)
 			s, err = Restore(s.Snapshot())
 			must.NoError(t, err)
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -15,26 +15,29 @@
 	Now() time.Duration
 	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
-	// Call sends a call to some node. It calls done once, with the record of a call that has ended or that the caller has given up.
+	// Call sends a call to some node. Call invokes done once, after the call has ended or the caller has given it up. The record contains the
+	// call and its answer.
 	Call(caller string, c coordination.Call, done func(*callhistory.Record))
 }
 
 // Config configures the number and the behavior of the callers.
 type Config struct {
+	// Lockers is the number of callers that acquire locks.
 	Lockers int
-	// MaxWatcherPause limits the pause between two calls of a watcher that occasionally falls behind.
+	// MaxWatcherPause is the longest pause between two calls of a watcher. Watchers occasionally take a random pause up to this limit, so that
+	// they fall behind the history that the system retains.
 	MaxWatcherPause time.Duration
-	// LongTTLs makes some leases up to ten seconds long.
+	// LongTTLs makes the duration of some leases up to ten seconds. Other leases last at most 2.5 seconds.
 	LongTTLs bool
 }
 
-// The first three constants are the numbers of callers of each kind besides the lockers. The others are the numbers of names that the
-// callers share.
 const (
+	// Numbers of callers of each kind besides the lockers.
 	numberCallers = 3
 	editors       = 4
 	watchers      = 3
 
+	// Numbers of locks, counters, key groups and keys that the callers share.
 	lockCount     = 2
 	counterCount  = 2
 	keyGroupCount = 2
@@ -48,9 +51,9 @@
 	return fmt.Sprintf("%s%d", keyGroupName(group), key)
 }
 
-// Names returns the names of some locks, counters and key groups that the callers use. A test uses them to find the replicated groups that
-// store these objects.
-func Names() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
+// SharedNames returns the names of some locks, counters and key groups that the callers use. Tests use the names to find the replicated
+// groups that store these objects.
+func SharedNames() []string { return []string{"l0", "l1", "n0", "g0.", "g1."} }
 
 // Callers is a set of simulated callers of all kinds.
 type Callers struct {
@@ -59,14 +62,14 @@
 	config     Config
 	lastValue  int // the number in the value of the last put, which makes each value unique
 	stopping   bool
-	unanswered []string // descriptions of the audit calls that got no answer
+	unanswered []string // result of UnansweredAuditCalls
 }
 
 // Start creates the callers and starts them.
 func Start(env Environment, rng *rand.Rand, config Config) *Callers {
 	c := &Callers{env: env, rng: rng, config: config}
 	for i := range config.Lockers {
-		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquire()
+		(&locker{callers: c, name: fmt.Sprintf("a%d", i)}).acquireLock()
 	}
 	for i := range numberCallers {
 		c.requestNumbers(fmt.Sprintf("c%d", i), counterName(i%counterCount))
@@ -75,7 +78,7 @@
 		(&editor{callers: c, name: fmt.Sprintf("e%d", i)}).readAndPut()
 	}
 	for i := range watchers {
-		(&watcher{callers: c, name: fmt.Sprintf("w%d", i), keyGroup: keyGroupName(i % keyGroupCount)}).watch()
+		(&watcher{callers: c, name: fmt.Sprintf("w%d", i), keyGroup: keyGroupName(i % keyGroupCount)}).watchRepeatedly()
 	}
 	return c
 }
@@ -83,34 +86,37 @@
 // Stop lets the callers finish the work that they have begun, and keeps them from starting more.
 func (c *Callers) Stop() { c.stopping = true }
 
-// Audit makes a call on each name. Call it when no fault is left and every lease has expired, because each call must then be answered.
-// Unanswered reports the calls that were not.
+// Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each
+// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
 func (c *Callers) Audit() {
 	for i := range counterCount {
-		c.auditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
+		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
 	}
 	for i := range lockCount {
-		c.auditCall(coordination.Call{Operation: coordination.LockAcquire, Name: lockName(i), Holder: "audit", TTL: time.Second})
+		c.sendAuditCall(coordination.Call{Operation: coordination.LockAcquire, Name: lockName(i), Holder: "audit", TTL: time.Second})
 	}
 	for i := range keyGroupCount {
-		c.auditCall(coordination.Call{Operation: coordination.KeyWatch, Name: keyGroupName(i)})
+		c.sendAuditCall(coordination.Call{Operation: coordination.KeyWatch, Name: keyGroupName(i)})
 		for k := range keysPerGroup {
-			c.auditCall(coordination.Call{Operation: coordination.KeyRead, Name: keyName(i, k)})
+			c.sendAuditCall(coordination.Call{Operation: coordination.KeyRead, Name: keyName(i, k)})
 		}
 	}
 }
 
-func (c *Callers) auditCall(call coordination.Call) {
+// sendAuditCall sends one call of the audit and records a missing or wrong answer.
+func (c *Callers) sendAuditCall(call coordination.Call) {
 	c.env.Call("audit", call, func(r *callhistory.Record) {
 		if !r.IsDefinite() || r.Result.Status != coordination.StatusOK && r.Result.Status != coordination.StatusNotFound {
-			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call got no answer: %v", r))
+			c.unanswered = append(c.unanswered, fmt.Sprintf("audit call was not answered with status OK or NotFound: %v", r))
 		}
 	})
 }
 
-// Unanswered returns a description of each audit call that got no answer.
-func (c *Callers) Unanswered() []string { return c.unanswered }
+// UnansweredAuditCalls returns a description of each audit call that got no definite answer or an answer with a status other than OK and
+// NotFound.
+func (c *Callers) UnansweredAuditCalls() []string { return c.unanswered }
 
+// randomDuration returns a random duration between from and to, both included.
 func (c *Callers) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
--- a/internal/lab/callhistory/keys.go
+++ b/internal/lab/callhistory/keys.go
@@ -8,14 +8,14 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// checkKeys checks the rules ORDER, STALE, MIXED and REFUSED for keys. It first collects the results of watches and reads, because they may
-// show the revision of a put that got no answer.
+// checkKeys checks the rules ORDER, STALE, MIXED and REFUSED for keys. It first collects the results of watches and reads, because these
+// results may contain the revision of a put that got no answer.
 func (c *checker) checkKeys() {
 	c.collectPuts()
-	c.observeWatches()
+	c.recordWatchEvents()
 	reads := c.recordsByName[coordination.KeyRead]
 	for _, key := range sortedKeys(reads) {
-		for _, r := range succeeded(reads[key]) {
+		for _, r := range succeededRecords(reads[key]) {
 			c.recordObserved(r, key, r.Result.Value, r.Result.Revision)
 		}
 	}
@@ -23,9 +23,9 @@
 	c.checkRevisionsIncrease()
 	byKey := c.putsByKey()
 	for _, key := range sortedKeys(byKey) {
-		c.checkConditions(byKey[key])
+		c.checkConditionalPuts(byKey[key])
 		c.checkConflicts(byKey[key])
-		c.checkReads(key, byKey[key])
+		c.checkStaleReads(key, byKey[key])
 	}
 }
 
@@ -36,13 +36,13 @@
 		revisions := maps.Clone(p.acknowledged)
 		maps.Copy(revisions, p.observed)
 		if len(revisions) > 1 {
-			c.report(RuleMixed, "value %q of key %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
+			c.addViolation(RuleMixed, "value %q of key %s has %d revisions: %v", p.value, p.key, len(revisions), slices.Sorted(maps.Keys(revisions)))
 		}
 	}
 }
 
-// checkRevisionsIncrease checks that the revisions in each key group increase. It takes the time at which the first call of a put was sent,
-// because a repeated put returns the revision of the first one.
+// checkRevisionsIncrease checks that the revisions in each key group increase. A put counts as sent when its first call was
+// sent, because a repeated put returns the revision of the first one.
 func (c *checker) checkRevisionsIncrease() {
 	byGroup := map[string][]*Record{}
 	for _, id := range sortedKeys(c.puts) {
@@ -60,21 +60,23 @@
 	}
 }
 
-// checkConditions checks that no other put of the key has a revision between that of a conditional put and the revision that it expected.
-func (c *checker) checkConditions(puts []*put) {
+// checkConditionalPuts checks each conditional put. No other put of the key may have a revision between the revision that the conditional
+// put expected and the revision that the conditional put got.
+func (c *checker) checkConditionalPuts(puts []*put) {
 	for _, p := range puts {
 		for expected := range p.expectedRevisions {
 			for _, other := range puts {
 				if r := other.revision(); r > expected && r < p.revision() {
-					c.report(RuleOrder, "put of %q to %s expected revision %d and got revision %d, despite a put at revision %d", p.value, p.key, expected, p.revision(), r)
+					c.addViolation(RuleOrder, "put of value %q to key %s expected revision %d and got revision %d, but another put has revision %d",
+						p.value, p.key, expected, p.revision(), r)
 				}
 			}
 		}
 	}
 }
 
-// checkConflicts checks that each conflict names a revision of a put of the key. If the key has a put without an answer whose revision is
-// unknown, any revision may be that put's, so checkConflicts accepts it.
+// checkConflicts checks that the revision in the answer of each rejected conditional put belongs to a put of the key. If the key has an
+// unanswered put with an unknown revision, checkConflicts accepts any revision, because the revision may belong to the unanswered put.
 func (c *checker) checkConflicts(puts []*put) {
 	known, anyUnknown := map[uint64]bool{}, false
 	for _, p := range puts {
@@ -88,21 +90,21 @@
 		for _, r := range p.rejections {
 			shown := r.Result.Revision
 			if r.Result.Status == coordination.StatusConflict && shown > 0 && !known[shown] && !anyUnknown {
-				c.report(RuleMixed, "%v returned a revision that no put of the key has", r)
+				c.addViolation(RuleMixed, "%v returned a revision that no put of the key has", r)
 			}
 		}
 	}
 }
 
-// checkReads checks that no read returns a lower revision than a put that was acknowledged before the read was sent.
-func (c *checker) checkReads(key string, puts []*put) {
+// checkStaleReads checks that no read returns a lower revision than a put that was acknowledged before the read was sent.
+func (c *checker) checkStaleReads(key string, puts []*put) {
 	for _, r := range c.recordsByName[coordination.KeyRead][key] {
 		if !r.Succeeded() && (!r.IsDefinite() || r.Result.Status != coordination.StatusNotFound) {
 			continue
 		}
 		for _, p := range puts {
 			if p.firstSuccess != nil && p.firstSuccess.endedBefore(r) && p.firstSuccess.Result.Revision > r.Result.Revision {
-				c.report(RuleStale, "%v returned a lower revision than a put acknowledged before the read was sent: %v", r, p.firstSuccess)
+				c.addViolation(RuleStale, "%v returned a lower revision than a put acknowledged before the read was sent: %v", r, p.firstSuccess)
 			}
 		}
 	}
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -14,7 +14,7 @@
 	start, end time.Duration
 }
 
-// checkLocks checks rule ONE.
+// checkLocks checks that each lock has at most one holder at a time and that its fencing tokens increase (rule ONE).
 func (c *checker) checkLocks() {
 	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
@@ -30,7 +30,8 @@
 	}
 }
 
-// checkFencingTokens checks that fencing tokens increase from holder to holder.
+// checkFencingTokens checks that each holder got a higher fencing token than all other holders before. The same holder may get the same
+// token again.
 func (c *checker) checkFencingTokens(name string, records []*Record) {
 	var granted []*Record
 	for _, r := range records {
@@ -43,17 +44,17 @@
 			switch {
 			case other.Call.Holder == r.Call.Holder:
 			case other.Result.FencingToken == r.Result.FencingToken && other.Sent < r.Sent:
-				c.report(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
+				c.addViolation(RuleOne, "lock %s: two holders got fencing token %d: %v and %v", name, r.Result.FencingToken, other, r)
 			case other.endedBefore(r) && other.Result.FencingToken > r.Result.FencingToken:
-				c.report(RuleOne, "lock %s: a fencing token is lower than one granted before: %v after %v", name, r, other)
+				c.addViolation(RuleOne, "lock %s: a fencing token is lower than an earlier one: call %v after call %v", name, r, other)
 			}
 		}
 	}
 }
 
-// holdIntervals returns the intervals in which each caller considers itself the holder. An interval starts when a successful answer to an
-// acquire arrives. It ends when the caller sends a release or when the lease expires. The lease counts from the time at which the last
-// successful call was sent.
+// holdIntervals returns the intervals in which callers consider themselves the holder of a lock. An interval starts when a successful
+// answer to an acquire call arrives. The interval ends when the caller sends a release or when the lease expires. The lease counts from
+// the time at which the last successful call was sent.
 func holdIntervals(records []*Record) (ended []holdInterval) {
 	open := map[string]*holdInterval{}
 	for _, r := range records {
@@ -79,7 +80,7 @@
 			}
 			open[holder] = &holdInterval{holder: holder, start: r.Ended, end: r.Sent + r.Call.TTL}
 		case coordination.LockRenew:
-			current.renew(r)
+			current.applyRenewal(r)
 		}
 	}
 	for _, holder := range sortedKeys(open) {
@@ -88,8 +89,8 @@
 	return ended
 }
 
-// renew applies the answer to a renewal to the interval. It does nothing if the interval is nil.
-func (h *holdInterval) renew(r *Record) {
+// applyRenewal applies the answer to a renewal to the interval. It does nothing if the interval is nil.
+func (h *holdInterval) applyRenewal(r *Record) {
 	switch {
 	case h == nil || !r.IsDefinite():
 	case r.Result.Status == coordination.StatusLockLost:
@@ -105,7 +106,8 @@
 	for i, a := range intervals {
 		for _, b := range intervals[i+1:] {
 			if a.holder != b.holder && b.start < a.end && a.start < b.end {
-				c.report(RuleOne, "lock %s: %s holds it from %v to %v, %s holds it from %v to %v", name, a.holder, a.start, a.end, b.holder, b.start, b.end)
+				c.addViolation(RuleOne, "lock %s: holder %s holds the lock from %v to %v, and holder %s from %v to %v",
+					name, a.holder, a.start, a.end, b.holder, b.start, b.end)
 			}
 		}
 	}
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -5,13 +5,13 @@
 // put is a value that one or more calls put to a key. Callers repeat a put that gets no answer, and never use the same value for two puts.
 type put struct {
 	key, value        string
-	firstSent         *Record
+	firstSent         *Record         // the call that was sent first
 	firstSuccess      *Record         // the successful call that ended first, or nil if none succeeded
-	acknowledged      map[uint64]bool // the revisions in the answers to its successful calls
+	acknowledged      map[uint64]bool // the revisions in the answers to the successful calls
 	observed          map[uint64]bool // the revisions with which reads and watches returned the value
 	ambiguous         bool            // true if a call of the put got no definite answer
-	expectedRevisions map[uint64]bool // the expected revisions of its successful conditional calls
-	rejections        []*Record
+	expectedRevisions map[uint64]bool // the expected revisions of the successful conditional calls
+	rejections        []*Record       // the calls with a definite answer that is not a success
 }
 
 // revision returns the revision of the put, or 0 if it is unknown. If the put has several revisions, which breaks rule MIXED, revision
@@ -34,7 +34,7 @@
 	byKey := c.recordsByName[coordination.KeyPut]
 	for _, key := range sortedKeys(byKey) {
 		for _, r := range byKey[key] {
-			c.ensurePut(r).add(r)
+			c.ensurePut(r).addCall(r)
 		}
 	}
 }
@@ -49,8 +49,8 @@
 	return c.puts[id]
 }
 
-// add records a call that belongs to the put.
-func (p *put) add(r *Record) {
+// addCall records a call that belongs to the put.
+func (p *put) addCall(r *Record) {
 	if r.Sent < p.firstSent.Sent {
 		p.firstSent = r
 	}
@@ -80,8 +80,8 @@
 	return byKey
 }
 
-// observeWatches records the puts that watches returned.
-func (c *checker) observeWatches() {
+// recordWatchEvents calls recordObserved for each event that a watch returned.
+func (c *checker) recordWatchEvents() {
 	byGroup := c.recordsByName[coordination.KeyWatch]
 	for _, group := range sortedKeys(byGroup) {
 		for _, r := range byGroup[group] {
@@ -97,14 +97,14 @@
 func (c *checker) recordObserved(observer *Record, key, value string, revision uint64) {
 	p := c.puts[putKey(key, value)]
 	if p == nil {
-		c.report(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
+		c.addViolation(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
 		return
 	}
 	if p.firstSent.Sent > observer.Ended {
-		c.report(RuleMixed, "%v returned value %q of key %s before it was put", observer, value, key)
+		c.addViolation(RuleMixed, "%v returned value %q of key %s before a call put this value", observer, value, key)
 	}
 	if p.firstSuccess == nil && !p.ambiguous {
-		c.report(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
+		c.addViolation(RuleRefused, "%v returned value %q of key %s, whose put was rejected: %v", observer, value, key, p.rejections[0])
 	}
 	p.observed[revision] = true
 }
--- a/pkg/coordination/client_test.go
+++ b/pkg/coordination/client_test.go
@@ -31,7 +31,8 @@
 	io.WriteString(w, text)
 }
 
-func (f *fakeNode) count(substring string) (found int) {
+// requestCount returns the number of recorded requests that contain the substring.
+func (f *fakeNode) requestCount(substring string) (found int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
@@ -42,6 +43,7 @@
 	return found
 }
 
+// newFakeNode starts a fakeNode and returns it together with a client of this node.
 func newFakeNode(t *testing.T, respond func(path, body string) (int, string)) (*fakeNode, *Client) {
 	t.Helper()
 	n := &fakeNode{respond: respond}
@@ -60,8 +62,8 @@
 	return ctx
 }
 
-// TestErrorForStatus guards against a wrong error for a status code of the gateway. Each error documents what the caller may rely on after
-// the call.
+// TestErrorForStatus guards against a wrong error for a status code of the gateway. The caller concludes from the error whether the call
+// took effect.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{404: ErrNotFound, 410: ErrCompacted, 409: ErrHeld, 400: ErrInvalid} {
 		_, c := newFakeNode(t, func(string, string) (int, string) { return status, "" })
@@ -75,8 +77,9 @@
 	must.Eq(t, 7, conflict.Revision)
 }
 
-// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards against
-// ErrUnavailable for a call that may have taken effect: when the context ends, only a call that certainly had no effect returns it.
+// TestRetryUntilDefiniteResponse checks that the client repeats a call unchanged until it gets a definite response. It also guards
+// against ErrUnavailable for a call that may have taken effect. When the context ends, a call may return ErrUnavailable only if the call
+// certainly had no effect.
 func TestRetryUntilDefiniteResponse(t *testing.T) {
 	attempts := 0
 	n, c := newFakeNode(t, func(string, string) (int, string) {
@@ -88,7 +91,7 @@
 	revision, err := c.PutAt(contextWithTimeout(t, time.Minute), "g.k", "v", 3)
 	must.NoError(t, err)
 	must.Eq(t, 9, revision)
-	must.Eq(t, 3, n.count(`{"value":"v","topic":3}`))
+	must.Eq(t, 3, n.requestCount(`{"value":"v","topic":3}`))
 	for status, want := range map[int]error{503: ErrUnavailable, 429: ErrUnavailable, 504: ErrUnclear} {
 		_, c := newFakeNode(t, nil)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +113,7 @@
 }
 
 // TestSessionEndsBeforeLeaseExpires guards against a session that outlives its lease. The session renews its lease until no node answers or
-// a node reports that the lock is lost. It must then end with ErrLost before the lease expires.
+// a node reports that the lock is lost. The session must then end with ErrLost before the lease expires.
 func TestSessionEndsBeforeLeaseExpires(t *testing.T) {
 	for name, status := range map[string]int{"no node answers": 503, "lock is lost": 409} {
 		renewals := 0
@@ -146,12 +149,12 @@
 	must.NoError(t, err)
 	must.NoError(t, s.Finish(contextWithTimeout(t, time.Minute)))
 	must.ErrorIs(t, context.Cause(s.Context()), ErrFinished)
-	must.Eq(t, 1, n.count(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
-	must.Eq(t, 0, n.count("Heartbeat"))
+	must.Eq(t, 1, n.requestCount(`/api/Locks.Finish/l {"holder":"me","fence":5}`))
+	must.Eq(t, 0, n.requestCount("Heartbeat"))
 }
 
-// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. This happens when the response that grants
-// the lock takes longer than the lease.
+// TestLockFailsWhenLeaseHasExpired guards against a session for a lease that has already expired. The lease expires before
+// Lock returns if the response that grants the lock takes longer than the lease.
 func TestLockFailsWhenLeaseHasExpired(t *testing.T) {
 	late := make(chan struct{})
 	_, c := newFakeNode(t, func(string, string) (int, string) {
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -15,7 +15,7 @@
 		Value uint64 `json:"value"`
 	}
 	r := request{method: http.MethodPost, path: "/api/numbers/" + url.PathEscape(name), body: struct{}{}}
-	err := c.do(ctx, r, &next)
+	err := c.callWithRetry(ctx, r, &next)
 	return next.Value, err
 }
 
@@ -28,7 +28,7 @@
 // Get returns the current value of a key. The result reflects every put that was acknowledged before the call. If the key has no value, Get
 // returns ErrNotFound.
 func (c *Client) Get(ctx context.Context, key string) (v Value, err error) {
-	err = c.do(ctx, request{method: http.MethodGet, path: "/api/Cells.Read/" + url.PathEscape(key)}, &v)
+	err = c.callWithRetry(ctx, request{method: http.MethodGet, path: "/api/Cells.Read/" + url.PathEscape(key)}, &v)
 	return v, err
 }
 
@@ -44,29 +44,30 @@
 	return c.put(ctx, key, putBody{Value: value, ExpectedRevision: &revision})
 }
 
-// putBody is the JSON request body KeyReplace of api/control.yaml.
+// putBody is the JSON request body KeyReplace of api/control.yaml. ExpectedRevision is nil for an unconditional put.
 type putBody struct {
 	Value            string  `json:"value"`
 	ExpectedRevision *uint64 `json:"topic,omitempty"`
 }
 
+// put sends a conditional or unconditional put and returns its revision.
 func (c *Client) put(ctx context.Context, key string, body putBody) (uint64, error) {
 	var v Value
-	err := c.do(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
+	err := c.callWithRetry(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
 	return v.Revision, err
 }
 
 // Event is a put that a watch reports.
 type Event struct {
-	Name     string `json:"name"`
+	Name     string `json:"name"` // full name of the key
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the puts
-// as events, together with the revision from which to continue. It returns no events if none arrives within the time wait. If after is 0,
-// Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time that the gateway's
-// setting bounds.history states. For older revisions, Watch may return ErrCompacted.
+// Watch waits for puts in a key group whose revisions are higher than after. The name of the group includes its dot. Watch returns the
+// puts as events, together with the revision from which to continue. If no put arrives within the duration wait, Watch returns no events.
+// If after is 0, Watch returns the current revision at once. A caller can resume from any revision that Watch returned within the time
+// that the gateway's setting bounds.history states. For older revisions, Watch may return ErrCompacted.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	query := "?after=" + strconv.FormatUint(after, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	var result struct {
@@ -74,6 +75,6 @@
 		Revision uint64  `json:"revision"`
 	}
 	r := request{method: http.MethodGet, path: "/api/watch/" + url.PathEscape(group) + query, wait: wait}
-	err := c.do(ctx, r, &result)
+	err := c.callWithRetry(ctx, r, &result)
 	return result.Events, result.Revision, err
 }
