--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -21,14 +21,14 @@
 	path         string
 	filesystem   filesystem
 	memberID     replication.MemberID
-	file         *bbolt.DB // nil until the file exists: see Created
+	file         *bbolt.DB // nil until the file exists: see HasFile
 	groupLogs    map[replication.LogID]replication.PersistentState
 	hasBothNames bool  // the file was found under both of its names
 	renameErr    error // see RenameError
 }
 
 // Open opens the file in a directory, reads all of it and returns the configuration's log. If there is no state, Open creates a file with a
-// new member ID and syncs the file and its directory entry. If the disk is too full for that, the store only has a member ID (see Created),
+// new member ID and syncs the file and its directory entry. If the disk is too full for that, the store only has a member ID (see HasFile),
 // and the first Write that finds room creates the file. Until then the store confirms nothing under that ID, so a process that ends before
 // loses only the ID.
 //
@@ -72,9 +72,9 @@
 	return id, nil
 }
 
-// Created reports whether the file exists, no matter whether this process or an earlier one created it. It returns false if there was no
+// HasFile reports whether the file exists, no matter whether this process or an earlier one created it. It returns false if there was no
 // file and the disk was too full to create one. It returns true once a Write or SaveSoftState has created the file.
-func (s *Store) Created() bool { return s.file != nil }
+func (s *Store) HasFile() bool { return s.file != nil }
 
 // RenameError returns why the file may still have the name of earlier versions, or nil if the file permanently has its present name. The
 // store uses the file in either case, and the next Open tries to rename it again.
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -184,7 +184,7 @@
 	fs.failures["open"] = unix.ENOSPC
 	store, state, err := open(dir, fs)
 	must.NoError(t, err)
-	must.False(t, store.Created())
+	must.False(t, store.HasFile())
 	must.Positive(t, state.ID)
 	must.Nil(t, store.SoftState())
 	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
@@ -196,7 +196,7 @@
 
 	delete(fs.failures, "open")
 	must.NoError(t, writeConfiguration(store, write))
-	must.True(t, store.Created())
+	must.True(t, store.HasFile())
 	must.NoError(t, store.Close())
 	store, reopened, err := Open(dir)
 	must.NoError(t, err)
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, kept, err
 	}
-	if !store.Created() {
+	if !store.HasFile() {
 		s.node.logWarn(corePart).Msg("disk full at its first start, no vote until it takes writes")
 	}
 	if err := store.RenameError(); err != nil {
