--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -95,9 +95,9 @@
 	knownLeader  [groups.Count]string // addresses
 	proposals    [groups.Count][]*proposal
 	committed    map[*byte]*proposal // committed proposals that are not applied here yet, by the first byte of their entry
-	frozen       bool
+	suspended    bool
 	inputDelay   time.Duration
-	backlog      []func()                 // turns that wait while the node is frozen
+	backlog      []func()                 // turns that wait while the node is suspended
 	isolated     bool                     // the node has no quorum contact
 	delayedUntil map[string]time.Duration // earliest arrival time of messages, by receiver
 	brokenLinks  map[string]bool
@@ -119,17 +119,17 @@
 	for index := range nodes {
 		c.nodes = append(c.nodes, &node{cluster: c, index: index, delayedUntil: map[string]time.Duration{}, brokenLinks: map[string]bool{},
 			lastArrival: map[string]time.Duration{}})
-		c.nodes[index].start()
+		c.nodes[index].startIncarnation()
 	}
 	for id := range groups.ID(groups.Count) {
-		c.makeLeader(id, c.nodes[int(id)%nodes])
+		c.electLeader(id, c.nodes[int(id)%nodes])
 	}
-	c.announceLeaders()
+	c.notifyNodesPeriodically()
 	return c
 }
 
-// start begins a new incarnation of a node. The node applies the logs from their start.
-func (n *node) start() {
+// startIncarnation begins a new incarnation of a node. The node applies the logs from their start.
+func (n *node) startIncarnation() {
 	n.incarnation = n.cluster.rng.Uint64() | 1
 	n.startedAt = n.cluster.now - n.cluster.randomDuration(0, time.Hour)
 	n.service = coordination.New(n, coordination.Config{
@@ -139,7 +139,7 @@
 		TestingKnobs:     n.cluster.knobs,
 	})
 	n.service.SetHost(n)
-	n.frozen, n.backlog, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
+	n.suspended, n.backlog, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
 	for id := range groups.ID(groups.Count) {
 		n.states[id] = n.service.StateMachine(id)
 		n.applied[id], n.leaderTerm[id], n.proposals[id], n.knownLeader[id] = 0, 0, nil, ""
@@ -150,23 +150,23 @@
 func (n *node) restart() {
 	for id := range groups.ID(groups.Count) {
 		if n.cluster.logs[id].leader == n {
-			n.cluster.makeLeader(id, n.cluster.randomOtherNode(n))
+			n.cluster.electLeader(id, n.cluster.randomOtherNode(n))
 		}
 	}
-	n.start()
+	n.startIncarnation()
 }
 
 func (c *cluster) randomOtherNode(excluded *node) *node {
 	for {
-		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != excluded && !n.frozen {
+		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != excluded && !n.suspended {
 			return n
 		}
 	}
 }
 
-// runTurn runs a turn of the node, or queues it while the node is frozen.
+// runTurn runs a turn of the node, or queues it while the node is suspended.
 func (n *node) runTurn(turn func()) {
-	if n.frozen {
+	if n.suspended {
 		n.backlog = append(n.backlog, turn)
 		return
 	}
@@ -184,15 +184,15 @@
 	})
 }
 
-// freeze stops the node's process for a duration.
-func (n *node) freeze(duration time.Duration) {
+// suspend stops the node's process for a duration.
+func (n *node) suspend(duration time.Duration) {
 	incarnation := n.incarnation
-	n.frozen = true
+	n.suspended = true
 	n.cluster.schedule(duration, func() {
 		if n.incarnation != incarnation {
 			return
 		}
-		n.frozen, n.inputDelay = false, duration
+		n.suspended, n.inputDelay = false, duration
 		n.cluster.schedule(20*ms, func() { n.inputDelay = 0 })
 		backlog := n.backlog
 		n.backlog = nil
@@ -202,24 +202,24 @@
 	})
 }
 
-// announceLeaders periodically notifies nodes of a group's leader and lets them apply committed entries.
-func (c *cluster) announceLeaders() {
+// notifyNodesPeriodically periodically notifies nodes of a group's leader and lets them apply committed entries.
+func (c *cluster) notifyNodesPeriodically() {
 	for _, n := range c.nodes {
 		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
 			id := groups.ID(c.rng.IntN(groups.Count))
-			n.catchUp(id)
+			n.applyCommitted(id)
 			if !n.isolated {
 				n.knownLeader[id] = nodeAddress(c.logs[id].leader.index)
 				n.service.LeaderChanged(id)
 			}
 		})
 	}
-	c.schedule(20*ms, c.announceLeaders)
+	c.schedule(20*ms, c.notifyNodesPeriodically)
 }
 
-// catchUp applies the committed entries that the node lacks. A node that lacks more than 5 entries is sometimes given the snapshot of a
+// applyCommitted applies the committed entries that the node lacks. A node that lacks more than 5 entries is sometimes given the snapshot of a
 // node that has applied more.
-func (n *node) catchUp(id groups.ID) {
+func (n *node) applyCommitted(id groups.ID) {
 	entries := n.cluster.logs[id].entries
 	if len(entries)-n.applied[id] > 5 && n.cluster.rng.IntN(2) == 0 {
 		for _, peer := range n.cluster.nodes {
@@ -250,11 +250,11 @@
 	}
 }
 
-// makeLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
+// electLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
 // learns later that it no longer leads.
-func (c *cluster) makeLeader(id groups.ID, n *node) {
+func (c *cluster) electLeader(id groups.ID, n *node) {
 	l := &c.logs[id]
-	if l.leader == n || n.frozen {
+	if l.leader == n || n.suspended {
 		return
 	}
 	if oldLeader := l.leader; oldLeader != nil {
@@ -269,22 +269,22 @@
 		}
 		c.schedule(c.randomDuration(0, 900*ms), func() {
 			if oldLeader.incarnation == incarnation {
-				oldLeader.runTurn(func() { oldLeader.loseLeadership(id, term) })
+				oldLeader.runTurn(func() { oldLeader.endLeadership(id, term) })
 			}
 		})
 	}
 	l.leader = n
 	l.term++
 	n.runTurn(func() {
-		n.loseLeadership(id, l.term-1)
-		n.catchUp(id)
+		n.endLeadership(id, l.term-1)
+		n.applyCommitted(id)
 		n.leaderTerm[id], n.leaderSince[id], n.knownLeader[id] = l.term, n.Now(), nodeAddress(n.index)
 		n.service.LeadershipGained(id, l.term)
 	})
 }
 
-// loseLeadership ends the node's leadership. Its open proposals end with groups.Ambiguous.
-func (n *node) loseLeadership(id groups.ID, term uint64) {
+// endLeadership ends the node's leadership. Its open proposals end with groups.Ambiguous.
+func (n *node) endLeadership(id groups.ID, term uint64) {
 	if n.leaderTerm[id] != term || term == 0 {
 		return
 	}
@@ -308,11 +308,11 @@
 	}
 	p := &proposal{entry: entry, term: n.leaderTerm[id], callback: done}
 	n.proposals[id] = append(n.proposals[id], p)
-	n.cluster.schedule(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commit(id) })
+	n.cluster.schedule(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commitFirstProposal(id) })
 }
 
-// commit commits the node's first open proposal, if the node still leads the group in the proposal's term.
-func (n *node) commit(id groups.ID) {
+// commitFirstProposal commits the node's first open proposal, if the node still leads the group in the proposal's term.
+func (n *node) commitFirstProposal(id groups.ID) {
 	l := &n.cluster.logs[id]
 	for _, p := range n.proposals[id] {
 		if p.ended || p.entry == nil || p.term != l.term || l.leader != n {
@@ -322,7 +322,7 @@
 		n.proposals[id] = slices.DeleteFunc(n.proposals[id], func(x *proposal) bool { return x == p })
 		l.entries = append(l.entries, p.entry)
 		n.committed[&p.entry[0]] = p
-		n.scheduleTurn(0, func() { n.catchUp(id) })
+		n.scheduleTurn(0, func() { n.applyCommitted(id) })
 		return
 	}
 }
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -19,22 +19,22 @@
 // which State.Snapshot requires.
 type encoder struct{ bytes []byte }
 
-func (e *encoder) uint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
+func (e *encoder) writeUint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
 
-func (e *encoder) string(s string) {
-	e.uint(uint64(len(s)))
+func (e *encoder) writeString(s string) {
+	e.writeUint(uint64(len(s)))
 	e.bytes = append(e.bytes, s...)
 }
 
-// duration appends d in whole microseconds, rounded down. A negative duration is written as 0.
-func (e *encoder) duration(d time.Duration) { e.uint(uint64(max(d, 0) / time.Microsecond)) }
+// writeDuration appends d in whole microseconds, rounded down. A negative duration is written as 0.
+func (e *encoder) writeDuration(d time.Duration) { e.writeUint(uint64(max(d, 0) / time.Microsecond)) }
 
-func (e *encoder) bool(v bool) {
+func (e *encoder) writeBool(v bool) {
 	if v {
-		e.uint(1)
+		e.writeUint(1)
 		return
 	}
-	e.uint(0)
+	e.writeUint(0)
 }
 
 // decoder reads the values that an encoder wrote. It keeps the first error, and returns zero values after it.
@@ -43,7 +43,7 @@
 	err   error
 }
 
-func (d *decoder) uint() uint64 {
+func (d *decoder) readUint() uint64 {
 	if d.err != nil {
 		return 0
 	}
@@ -56,22 +56,22 @@
 	return v
 }
 
-func (d *decoder) string() string {
-	n := d.count()
+func (d *decoder) readString() string {
+	n := d.readCount()
 	s := string(d.bytes[:n])
 	d.bytes = d.bytes[n:]
 	return s
 }
 
-func (d *decoder) duration() time.Duration { return time.Duration(d.uint()) * time.Microsecond }
+func (d *decoder) readDuration() time.Duration { return time.Duration(d.readUint()) * time.Microsecond }
 
-func (d *decoder) bool() bool { return d.uint() != 0 }
+func (d *decoder) readBool() bool { return d.readUint() != 0 }
 
-// count decodes an encoded count: the number of the records, or of the bytes of a string, that the encoder wrote after it. Each record takes
+// readCount decodes an encoded count: the number of the records, or of the bytes of a string, that the encoder wrote after it. Each record takes
 // at least one byte, so a count above the number of remaining bytes is an error. Damaged data therefore can't make the decoder allocate more
 // than the size of the data.
-func (d *decoder) count() int {
-	n := d.uint()
+func (d *decoder) readCount() int {
+	n := d.readUint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
 		d.err = ErrTruncated
 	}
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -29,8 +29,8 @@
 func (s *simulation) Now() time.Duration                  { return s.now }
 func (s *simulation) After(wait time.Duration, do func()) { s.schedule(wait, do) }
 
-// run runs the simulation for a duration, then the final audit without faults, and returns the violations.
-func (s *simulation) run(duration time.Duration) (violations []callhistory.Violation) {
+// runAndAudit runs the simulation for a duration, then the final audit without faults, and returns the violations.
+func (s *simulation) runAndAudit(duration time.Duration) (violations []callhistory.Violation) {
 	s.runUntil(duration)
 	s.faultsEnded = true
 	s.callers.Stop()
@@ -57,13 +57,13 @@
 	to := nodeAddress(s.rng.IntN(len(s.nodes)))
 	switch s.rng.IntN(7) {
 	case 0:
-		s.makeLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
+		s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 	case 1: // a leader's process is suspended, and another node is elected meanwhile
-		n.freeze(s.randomDuration(100*ms, 4*time.Second))
+		n.suspend(s.randomDuration(100*ms, 4*time.Second))
 		s.schedule(s.randomDuration(0, 400*ms), func() {
 			for id := range groups.ID(groups.Count) {
-				if s.logs[id].leader == n && n.frozen {
-					s.makeLeader(id, s.randomOtherNode(n))
+				if s.logs[id].leader == n && n.suspended {
+					s.electLeader(id, s.randomOtherNode(n))
 				}
 			}
 		})
@@ -82,7 +82,7 @@
 		s.schedule(s.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
 	case 6:
 		for id := range groups.ID(groups.Count) {
-			s.makeLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
+			s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 		}
 	}
 	s.schedule(s.randomDuration(50*ms, 1500*ms), s.injectFault)
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -18,10 +18,10 @@
 
 func (e *entry) encode() []byte {
 	var enc encoder
-	enc.uint(formatVersion)
-	enc.duration(e.logTime)
+	enc.writeUint(formatVersion)
+	enc.writeDuration(e.logTime)
 	hasCallID := e.call.Operation == LockAcquire
-	enc.bool(hasCallID)
+	enc.writeBool(hasCallID)
 	if hasCallID {
 		encodeCallID(&enc, e.callID)
 	}
@@ -31,11 +31,11 @@
 
 func decodeEntry(b []byte) (e entry, err error) {
 	dec := decoder{bytes: b}
-	if version := dec.uint(); dec.err == nil && version != formatVersion {
+	if version := dec.readUint(); dec.err == nil && version != formatVersion {
 		return e, errors.Wrapf(ErrUnknownVersion, "decode log entry: version %d", version)
 	}
-	e.logTime = dec.duration()
-	if dec.bool() {
+	e.logTime = dec.readDuration()
+	if dec.readBool() {
 		e.callID = decodeCallID(&dec)
 	}
 	e.call.decode(&dec)
@@ -48,19 +48,19 @@
 // encodeResult encodes the result of an entry for the node that proposed it. The result of an entry never has events, a value or locks.
 func encodeResult(r Result) []byte {
 	var enc encoder
-	enc.uint(uint64(r.Status))
-	enc.uint(r.FencingToken)
-	enc.uint(r.Number)
-	enc.uint(r.Revision)
+	enc.writeUint(uint64(r.Status))
+	enc.writeUint(r.FencingToken)
+	enc.writeUint(r.Number)
+	enc.writeUint(r.Revision)
 	return enc.bytes
 }
 
 func decodeResult(b []byte) (r Result, err error) {
 	dec := decoder{bytes: b}
-	r.Status = Status(dec.uint())
-	r.FencingToken = dec.uint()
-	r.Number = dec.uint()
-	r.Revision = dec.uint()
+	r.Status = Status(dec.readUint())
+	r.FencingToken = dec.readUint()
+	r.Number = dec.readUint()
+	r.Revision = dec.readUint()
 	if dec.err != nil {
 		return r, errors.Wrap(dec.err, "decode result")
 	}
@@ -71,10 +71,10 @@
 }
 
 func encodeCallID(enc *encoder, id CallID) {
-	enc.uint(id.Incarnation)
-	enc.uint(uint64(id.Sequence))
+	enc.writeUint(id.Incarnation)
+	enc.writeUint(uint64(id.Sequence))
 }
 
 func decodeCallID(dec *decoder) CallID {
-	return CallID{Incarnation: dec.uint(), Sequence: uint32(dec.uint())}
+	return CallID{Incarnation: dec.readUint(), Sequence: uint32(dec.readUint())}
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// deliver delivers a copy of a call to the leader and returns the state after it.
-func (e *explorer) deliver(state exploreState, number int) exploreState {
+// deliverCopy delivers a copy of a call to the leader and returns the state after it.
+func (e *explorer) deliverCopy(state exploreState, number int) exploreState {
 	c := &state.calls[number]
 	c.inFlight--
 	s := e.newService()
@@ -115,28 +115,28 @@
 	e.state, e.now, e.response = s.StateMachine(id), state.now, nil
 	must.NoError(e.t, e.state.Restore([]byte(state.snapshot)))
 	s.BecomeLeaderAt(id, state.logTime)
-	locksBefore := e.state.(*coordination.State).HeldLocks()
+	locksBefore := e.state.(*coordination.State).FormatLocks()
 	s.Receive("node", &coordination.Message{Request: e.newRequest(c, number)})
 	snapshotBefore := state.snapshot
 	state.snapshot = string(e.state.Snapshot())
 	if state.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(snapshotBefore), []byte(state.snapshot)) {
-		e.report("a copy that arrived %v after its call was sent changed the state", state.now-c.sent)
+		e.recordViolation("a copy that arrived %v after its call was sent changed the state", state.now-c.sent)
 	}
 	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
-	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).HeldLocks() {
-		e.report("a late copy of an acquire took the lock after its release")
+	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).FormatLocks() {
+		e.recordViolation("a late copy of an acquire took the lock after its release")
 	}
 	if caller := &state.callers[c.caller]; caller.awaitedCall == number+1 {
 		caller.awaitedCall = 0
 		if succeeded {
-			e.applySuccess(&state, c, caller)
+			e.updateCallerOnSuccess(&state, c, caller)
 		}
 	}
 	return state
 }
 
-// applySuccess updates a caller's state after a successful answer.
-func (e *explorer) applySuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
+// updateCallerOnSuccess updates a caller's state after a successful answer.
+func (e *explorer) updateCallerOnSuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
 	case coordination.LockAcquire:
@@ -159,21 +159,21 @@
 	}
 }
 
-func (e *explorer) report(format string, args ...any) {
+func (e *explorer) recordViolation(format string, args ...any) {
 	if e.violation == "" {
 		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.trace)
 	}
 }
 
-// visit explores all steps from a state.
-func (e *explorer) visit(state exploreState, depth int) {
+// exploreFrom explores all steps from a state.
+func (e *explorer) exploreFrom(state exploreState, depth int) {
 	if seenDepth, ok := e.seen[state]; e.violation != "" || ok && seenDepth <= depth {
 		return
 	}
 	e.seen[state] = depth
 	first, second := state.callers[0], state.callers[1]
 	if first.hasLock && second.hasLock && state.now < first.expiresAt && state.now < second.expiresAt {
-		e.report("both callers hold the lock")
+		e.recordViolation("both callers hold the lock")
 		return
 	}
 	if depth == e.depth {
@@ -181,7 +181,7 @@
 	}
 	step := func(format string, args []any, next exploreState) {
 		e.trace = append(e.trace, fmt.Sprintf(format, args...))
-		e.visit(next, depth+1)
+		e.exploreFrom(next, depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
 	}
 	for i := range state.callers {
@@ -191,7 +191,7 @@
 			continue
 		}
 		for _, operation := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
-			if next, ok := state.send(i, operation); ok {
+			if next, ok := state.stateAfterSend(i, operation); ok {
 				step("caller %d sends %v", []any{i, operation}, next)
 			}
 		}
@@ -201,7 +201,7 @@
 			continue
 		}
 		e.trace = append(e.trace, fmt.Sprintf("call %d arrives", number))
-		e.visit(e.deliver(state, number), depth+1)
+		e.exploreFrom(e.deliverCopy(state, number), depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
 		if next := state; state.duplicates == 0 && state.calls[number].inFlight == 1 {
 			next.duplicates++
@@ -232,8 +232,8 @@
 	return s.LogTime(id)
 }
 
-// send returns the state after a caller sends a call, or false if the caller can't send it.
-func (e exploreState) send(callerIndex int, operation coordination.Operation) (exploreState, bool) {
+// stateAfterSend returns the state after a caller sends a call, or false if the caller can't send it.
+func (e exploreState) stateAfterSend(callerIndex int, operation coordination.Operation) (exploreState, bool) {
 	caller := &e.callers[callerIndex]
 	if e.callCount == exploreMaxCalls || operation != coordination.LockAcquire && !caller.hasLock {
 		return e, false
@@ -247,9 +247,9 @@
 	return e, true
 }
 
-func explore(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
+func exploreAllOrders(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
 	e := &explorer{t: t, knobs: knobs, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
-	e.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistoryRetention).Snapshot())}, 0)
+	e.exploreFrom(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistoryRetention).Snapshot())}, 0)
 	return e
 }
 
@@ -259,7 +259,7 @@
 	if invariant.Debug { // each state takes ten times as long under the race detector
 		depth -= 2
 	}
-	e := explore(t, depth, coordination.TestingKnobs{})
+	e := exploreAllOrders(t, depth, coordination.TestingKnobs{})
 	must.Eq(t, "", e.violation)
 	t.Logf("%d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
 }
@@ -268,7 +268,7 @@
 func TestExplorerDetectsFaults(t *testing.T) {
 	for name, knobs := range explorerFaults {
 		start := time.Now()
-		e := explore(t, exploreDepth, knobs)
+		e := exploreAllOrders(t, exploreDepth, knobs)
 		t.Logf("%s: %d states in %v: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
 		test.NotEq(t, "", e.violation, test.Sprint(name))
 	}
--- a/internal/gateway/coordination/export_test.go
+++ b/internal/gateway/coordination/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // LogTime returns the log time that a leader would stamp on an entry now.
-func (s *Service) LogTime(id groups.ID) time.Duration { return s.logTime(id) }
+func (s *Service) LogTime(id groups.ID) time.Duration { return s.currentLogTime(id) }
 
 // BecomeLeaderAt makes the service the leader of a group and sets the log time from which it continues. The explorer uses it to start from
 // any state.
@@ -19,8 +19,8 @@
 	g.anchoredAt = s.host.Now()
 }
 
-// HeldLocks returns a text with all locks, their holders, fencing tokens and lease expiries.
-func (s *State) HeldLocks() string {
+// FormatLocks returns a text with all locks, their holders, fencing tokens and lease expiries.
+func (s *State) FormatLocks() string {
 	text := ""
 	for name, l := range s.locks {
 		text += fmt.Sprint(name, l.holder, l.fencingToken, l.expiresAt, ";")
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -28,7 +28,7 @@
 	calls := 0
 	for seed := range runs {
 		s := newSimulation(seed, coordination.TestingKnobs{})
-		for _, v := range s.run(simulationDuration) {
+		for _, v := range s.runAndAudit(simulationDuration) {
 			t.Errorf("seed %d: %v", seed, v)
 		}
 		if seed%6 == 0 {
@@ -53,7 +53,7 @@
 		start, violation := time.Now(), ""
 		seed := uint64(0)
 		for ; seed < 60 && violation == ""; seed++ {
-			if violations := newSimulation(seed, knobs).run(simulationDuration); len(violations) > 0 {
+			if violations := newSimulation(seed, knobs).runAndAudit(simulationDuration); len(violations) > 0 {
 				violation = violations[0].String()
 			}
 		}
--- a/internal/gateway/coordination/faults_test.go
+++ b/internal/gateway/coordination/faults_test.go
@@ -17,7 +17,7 @@
 		"a watch does not ask a quorum":                   {WatchWithoutQuorum: true},
 		"a watch returns only the last event":             {LastEventOnly: true},
 		"the history is too short":                        {ShortHistory: true},
-		"numbers are counted in memory":                   {NextNumber: countInMemory()},
+		"numbers are counted in memory":                   {NextNumber: newInMemoryCounter()},
 		"an ambiguous outcome is reported as unavailable": {ReportAmbiguousAsUnavailable: true},
 		"a snapshot lacks the puts":                       {SnapshotWithoutPuts: true},
 		"a snapshot lacks the fencing token":              {SnapshotWithoutFencingToken: true},
@@ -35,8 +35,8 @@
 	"a new leader starts after the end of all leases":  {SkipLeasesOnElection: true},
 }
 
-// countInMemory returns a function that counts numbers separately at each node. A restarted node starts again at 1.
-func countInMemory() func(incarnation uint64, name string) uint64 {
+// newInMemoryCounter returns a function that counts numbers separately at each node. A restarted node starts again at 1.
+func newInMemoryCounter() func(incarnation uint64, name string) uint64 {
 	type counter struct {
 		incarnation uint64
 		name        string
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -31,8 +31,8 @@
 	return attempt
 }
 
-// closeAttempt records that an attempt has no effect, now or later.
-func (p *pendingCall) closeAttempt(attempt uint8) { p.openAttempts &^= 1 << attempt }
+// clearOpenAttempt records that an attempt has no effect, now or later.
+func (p *pendingCall) clearOpenAttempt(attempt uint8) { p.openAttempts &^= 1 << attempt }
 
 // remoteClock is what this node knows about another node's monotonic clock.
 type remoteClock struct {
@@ -76,7 +76,7 @@
 	}
 	s.counters.Forwarded++
 	if !s.env.Send(target, &Message{Request: s.newForwardRequest(p, attempt)}) {
-		p.closeAttempt(attempt)
+		p.clearOpenAttempt(attempt)
 		p.avoidedTarget = target
 		p.retryAt = now + retryInterval
 	}
@@ -181,7 +181,7 @@
 		s.completeCall(p, result)
 		return
 	case AttemptRejected, AttemptDeadlineInvalid:
-		p.closeAttempt(attempt)
+		p.clearOpenAttempt(attempt)
 	}
 	isNewest := attempt+1 == p.attempts
 	if !isNewest {
@@ -216,13 +216,13 @@
 	case now >= p.retryAt:
 		p.avoidedTarget = p.target
 		s.sendAttempt(p)
-	case s.targetIsStale(p):
+	case s.isTargetStale(p):
 		s.sendAttempt(p)
 	}
 }
 
-// targetIsStale reports whether a node other than the newest attempt's target is now known to lead the group.
-func (s *Service) targetIsStale(p *pendingCall) bool {
+// isTargetStale reports whether a node other than the newest attempt's target is now known to lead the group.
+func (s *Service) isTargetStale(p *pendingCall) bool {
 	if p.target == "" {
 		return false
 	}
@@ -262,7 +262,7 @@
 // once.
 func (s *Service) LeaderChanged(group groups.ID) {
 	for _, sequence := range sortedKeys(s.pending) {
-		if p := s.pending[sequence]; p != nil && p.group == group && s.targetIsStale(p) {
+		if p := s.pending[sequence]; p != nil && p.group == group && s.isTargetStale(p) {
 			s.sendAttempt(p)
 		}
 	}
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -17,8 +17,8 @@
 // snapshots and nodes of that version use these encodings, so this version must decode them to the same values and encode the values to the
 // same bytes.
 
-// readRecorded reads a file of recorded bytes by name.
-func readRecorded(t *testing.T, name string) map[string][]byte {
+// readRecordedBytes reads a file of recorded bytes by name.
+func readRecordedBytes(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	f, err := os.Open("testdata/dd5a45a." + name)
 	must.NoError(t, err)
@@ -100,7 +100,7 @@
 
 // Messages are decoded and encoded as recorded, so that nodes of the recorded version and of this one understand each other.
 func TestMessagesMatchRecordedBytes(t *testing.T) {
-	recordedMessages, want := readRecorded(t, "messages"), goldenMessages()
+	recordedMessages, want := readRecordedBytes(t, "messages"), goldenMessages()
 	must.MapLen(t, len(want), recordedMessages)
 	for name, m := range want {
 		got, err := DecodeMessage(recordedMessages[name])
@@ -144,7 +144,7 @@
 
 // Entries and their results are decoded and encoded as recorded, and applying the log of these entries leads to the recorded state.
 func TestLogMatchesRecordedBytes(t *testing.T) {
-	recordedEntries, recordedResults, want := readRecorded(t, "entries"), readRecorded(t, "results"), goldenLog()
+	recordedEntries, recordedResults, want := readRecordedBytes(t, "entries"), readRecordedBytes(t, "results"), goldenLog()
 	must.MapLen(t, len(want), recordedEntries)
 	must.MapLen(t, len(want), recordedResults)
 	statuses := []Status{
@@ -168,12 +168,12 @@
 		must.Eq(t, statuses[i], result.Status, must.Sprint(name))
 		must.Eq(t, recordedResults[name], encodeResult(result), must.Sprint(name))
 	}
-	must.Eq(t, readRecorded(t, "snapshot")["log"], s.Snapshot())
+	must.Eq(t, readRecordedBytes(t, "snapshot")["log"], s.Snapshot())
 }
 
 // A result with all fields that an entry can set is decoded and encoded as recorded.
 func TestResultMatchesRecordedBytes(t *testing.T) {
-	recordedBytes := readRecorded(t, "snapshot")["result"]
+	recordedBytes := readRecordedBytes(t, "snapshot")["result"]
 	result, err := decodeResult(recordedBytes)
 	must.NoError(t, err)
 	must.Eq(t, Result{Status: StatusConflict, FencingToken: 301, Number: 302, Revision: 303}, result)
@@ -200,7 +200,7 @@
 			"h.": {revision: 1 << 35, compactedRevision: 1 << 34, keys: map[string]keyValue{"h.a": {"z", 1 << 35}}},
 		},
 		bytes:        len("g.a") + len("x") + len("g.b") + len("\x00y") + len("h.a") + len("z") + 3*eventOverhead,
-		historyBytes: older.size() + newer.size(),
+		historyBytes: older.sizeInBytes() + newer.sizeInBytes(),
 		putRevisions: map[putDigest]uint64{firstDigest: 12, secondDigest: 1 << 35},
 		putOrder:     []putDigest{secondDigest, firstDigest},
 	}
@@ -209,7 +209,7 @@
 
 // A snapshot with all contents is restored and encoded as recorded, so that this version can restore stored snapshots.
 func TestSnapshotMatchesRecordedBytes(t *testing.T) {
-	recordedBytes, want, got := readRecorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
+	recordedBytes, want, got := readRecordedBytes(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
 	must.NoError(t, got.Restore(recordedBytes))
 	must.Eq(t, want.logTime, got.logTime)
 	must.Eq(t, want.lastFencingToken, got.lastFencingToken)
@@ -222,7 +222,7 @@
 }
 
 // Decoding errors distinguish data of an unknown version from truncated data.
-func TestDecodeRejectsUnknownVersion(t *testing.T) {
+func TestDecodeDistinguishesUnknownVersionFromTruncation(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
 	must.ErrorIs(t, err, ErrUnknownVersion)
 	_, err = DecodeMessage([]byte{3})
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -39,7 +39,7 @@
 // eventOverhead is the number of bytes that an event or a key takes in addition to its strings.
 const eventOverhead = 64
 
-func (s *storedEvent) size() int { return eventOverhead + len(s.Name) + len(s.Value) }
+func (s *storedEvent) sizeInBytes() int { return eventOverhead + len(s.Name) + len(s.Value) }
 
 // putDigest identifies a put by its key and value. It is the first 128 bits of their SHA-256 hash.
 type putDigest [16]byte
@@ -54,8 +54,8 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// put stores the value of a key, unless the put repeats an earlier one, conflicts or exceeds maxKeyBytes.
-func (s *State) put(c *Call) Result {
+// putKey stores the value of a key, unless the put repeats an earlier one, conflicts or exceeds maxKeyBytes.
+func (s *State) putKey(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
 	if g == nil {
@@ -86,7 +86,7 @@
 // checkRepeatOrConflict returns the result of a put that repeats an earlier one or that conflicts, and whether it found one of the two. A
 // repeated put gets the revision of the first put. The check for a repetition precedes the comparison with the expected revision, because
 // the first put has already changed the key's revision.
-func (s *State) checkRepeatOrConflict(c *Call, g *keyGroup, digest putDigest) (result Result, ended bool) {
+func (s *State) checkRepeatOrConflict(c *Call, g *keyGroup, digest putDigest) (result Result, found bool) {
 	current, exists := g.keys[c.Name]
 	conflict := Result{Status: StatusConflict, Revision: current.revision}
 	if s.knobs.ConflictShowsGroupRevision {
@@ -123,7 +123,7 @@
 func (s *State) appendEvent(g *keyGroup, e Event) {
 	stored := storedEvent{Event: e, recordedAt: s.logTime}
 	g.events = append(g.events, stored)
-	s.keys.historyBytes += stored.size()
+	s.keys.historyBytes += stored.sizeInBytes()
 	s.compactHistory(g)
 }
 
@@ -141,7 +141,7 @@
 		if s.logTime-e.recordedAt <= retention && s.keys.historyBytes <= maxHistoryBytes {
 			break
 		}
-		s.keys.historyBytes -= e.size()
+		s.keys.historyBytes -= e.sizeInBytes()
 		g.compactedRevision = e.Revision
 	}
 	g.events = slices.Delete(g.events, 0, dropped)
@@ -182,7 +182,7 @@
 	}
 	size := 0
 	for i := first; i < len(g.events); i++ {
-		size += g.events[i].size()
+		size += g.events[i].sizeInBytes()
 		if size > maxEventBytesInResult && len(result.Events) > 0 {
 			result.Revision = result.Events[len(result.Events)-1].Revision
 			break
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -65,14 +65,14 @@
 	g.isLeader = false
 	g.updateClockAnchor(s.host.Now()) // another leader may have stamped entries before this node learned that its leadership had ended
 	s.counters.LeadershipsLost++
-	for _, w := range s.parkedWatchesIn(id) {
+	for _, w := range s.parkedWatchesOfGroup(id) {
 		s.unparkWatch(w)
 		w.reply(AttemptRejected, Result{})
 	}
 }
 
-// logTime returns the current log time of a group that this node leads.
-func (s *Service) logTime(id groups.ID) time.Duration {
+// currentLogTime returns the current log time of a group that this node leads.
+func (s *Service) currentLogTime(id groups.ID) time.Duration {
 	g := &s.hosted[id]
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
 }
@@ -102,21 +102,21 @@
 		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A leader
 		// that lost its leadership without knowing may answer StatusLockHeld wrongly. That is harmless, because the caller is granted
 		// nothing.
-		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.logTime(group)) {
+		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.currentLogTime(group)) {
 			reply(AttemptDone, Result{Status: StatusLockHeld})
 			return
 		}
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case LockRenew, LockRelease, KeyPut:
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case NumberNext:
 		if knobs.NextNumber != nil {
 			reply(AttemptDone, Result{Number: knobs.NextNumber(s.config.Incarnation, c.Name)})
 			return
 		}
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case KeyRead, LockRead, LockList:
-		s.readLinearizable(group, knobs.ReadWithoutQuorum, reply, func() Result { return s.readState(group, c) })
+		s.readLinearizable(group, knobs.ReadWithoutQuorum, reply, func() Result { return s.executeRead(group, c) })
 	case KeyWatch:
 		s.serveWatch(group, c, reply)
 	default: // an operation of a newer version of the program
@@ -124,12 +124,12 @@
 	}
 }
 
-// propose proposes a call as an entry of its group's log, stamped with the current log time.
-func (s *Service) propose(group groups.ID, c *Call, id CallID, reply replyFunc) {
-	e := entry{call: *c, logTime: s.logTime(group), callID: id}
+// proposeCall proposes a call as an entry of its group's log, stamped with the current log time.
+func (s *Service) proposeCall(group groups.ID, c *Call, id CallID, reply replyFunc) {
+	e := entry{call: *c, logTime: s.currentLogTime(group), callID: id}
 	s.host.Propose(group, e.encode(), func(outcome groups.Outcome, encoded []byte) {
 		if outcome != groups.Applied {
-			reply(attemptOutcome(outcome), Result{})
+			reply(outcomeOfUnappliedProposal(outcome), Result{})
 			return
 		}
 		result, err := decodeResult(encoded)
@@ -141,8 +141,8 @@
 	})
 }
 
-// attemptOutcome returns the outcome of an attempt whose proposal was not applied.
-func attemptOutcome(o groups.Outcome) AttemptOutcome {
+// outcomeOfUnappliedProposal returns the outcome of an attempt whose proposal was not applied.
+func outcomeOfUnappliedProposal(o groups.Outcome) AttemptOutcome {
 	if o == groups.NotProposed {
 		return AttemptRejected
 	}
@@ -165,12 +165,12 @@
 	})
 }
 
-// readState returns the result of a call that changes no state.
-func (s *Service) readState(group groups.ID, c *Call) Result {
+// executeRead returns the result of a call that changes no state.
+func (s *Service) executeRead(group groups.ID, c *Call) Result {
 	state := s.hosted[group].state
 	if c.Operation == KeyRead {
 		return state.readKey(c.Name)
 	}
 	include := func(name string) bool { return c.Operation == LockList || name == c.Name }
-	return Result{Locks: state.listLocks(s.logTime(group), include)}
+	return Result{Locks: state.listLocks(s.currentLogTime(group), include)}
 }
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -23,20 +23,20 @@
 	retiredAt time.Duration // log time
 }
 
-// isFree reports whether no caller can hold a lock at the current log time. l is nil for a lock without state.
-func (s *State) isFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
+// isLockFree reports whether no caller can hold a lock at the current log time. l is nil for a lock without state.
+func (s *State) isLockFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
 
-// acquire grants a lock if it is free, or extends the lease if the caller already holds the lock.
-func (s *State) acquire(e *entry) Result {
-	if s.isRetired(e.callID) {
+// acquireLock grants a lock if it is free, or extends the lease if the caller already holds the lock.
+func (s *State) acquireLock(e *entry) Result {
+	if s.isRetiredCall(e.callID) {
 		return Result{Status: StatusAmbiguous}
 	}
 	l := s.locks[e.call.Name]
-	if !s.isFree(l) {
-		return s.reacquire(l, e)
+	if !s.isLockFree(l) {
+		return s.reacquireLock(l, e)
 	}
 	if l != nil {
-		s.retireCall(l.callID)
+		s.recordRetiredCall(l.callID)
 	} else if len(s.locks) >= maxLocks && !s.removeExpiredLocks() {
 		return Result{Status: StatusLimitReached}
 	}
@@ -54,16 +54,16 @@
 	return Result{FencingToken: s.lastFencingToken}
 }
 
-// reacquire extends the lease of a held lock if the call comes from its holder, and returns StatusLockHeld otherwise. The holder keeps its
+// reacquireLock extends the lease of a held lock if the call comes from its holder, and returns StatusLockHeld otherwise. The holder keeps its
 // fencing token.
-func (s *State) reacquire(l *lockState, e *entry) Result {
+func (s *State) reacquireLock(l *lockState, e *entry) Result {
 	if l.holder != e.call.Holder {
 		return Result{Status: StatusLockHeld}
 	}
 	// A copy of the call that took the lock does not extend the lease, because the caller counts its lease from when it sent the first
 	// copy.
 	if l.callID != e.callID {
-		s.retireCall(l.callID)
+		s.recordRetiredCall(l.callID)
 		l.callID = e.callID
 		l.reacquired = true
 		l.lastAcquireAt = s.logTime
@@ -75,14 +75,14 @@
 // leaseExpiry returns the log time at which the lease that a call requests expires.
 func (s *State) leaseExpiry(c *Call) time.Duration { return s.logTime + c.TTL + leaseRoundingMargin }
 
-// renew extends a holder's lease. An expired lease is lost, whether or not another caller has acquired the lock since.
-func (s *State) renew(c *Call) Result {
+// renewLease extends a holder's lease. An expired lease is lost, whether or not another caller has acquired the lock since.
+func (s *State) renewLease(c *Call) Result {
 	l := s.locks[c.Name]
 	if s.knobs.RenewExpiredLease && l != nil && l.holder == c.Holder {
 		l.expiresAt = s.logTime + c.TTL
 		return Result{}
 	}
-	if s.isFree(l) || !s.isLeaseHolder(l, c) {
+	if s.isLockFree(l) || !s.isLeaseHolder(l, c) {
 		return Result{Status: StatusLockLost}
 	}
 	// A renewal never shortens the lease on which the holder relies, because copies of renewals may arrive in another order.
@@ -93,20 +93,20 @@
 	return Result{}
 }
 
-// release frees a lock. It succeeds whether or not the caller holds the lock, so that callers can repeat it.
-func (s *State) release(c *Call) Result {
+// releaseLock frees a lock. It succeeds whether or not the caller holds the lock, so that callers can repeat it.
+func (s *State) releaseLock(c *Call) Result {
 	l := s.locks[c.Name]
 	if l == nil || !s.isLeaseHolder(l, c) || s.mayBeStaleRelease(l) {
 		return Result{}
 	}
-	s.retireCall(l.callID)
+	s.recordRetiredCall(l.callID)
 	delete(s.locks, c.Name)
 	return Result{}
 }
 
 // mayBeStaleRelease reports whether a release may have been sent before the holder acquired the lock again. See staleReleaseWindow.
 func (s *State) mayBeStaleRelease(l *lockState) bool {
-	return l.reacquired && s.logTime-l.lastAcquireAt < staleReleaseWindow && !s.isFree(l) && !s.knobs.AcceptStaleRelease
+	return l.reacquired && s.logTime-l.lastAcquireAt < staleReleaseWindow && !s.isLockFree(l) && !s.knobs.AcceptStaleRelease
 }
 
 // isLeaseHolder reports whether a call comes from a lock's holder and has the fencing token of its current lease.
@@ -114,8 +114,8 @@
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
 
-// retireCall records an acquire whose lock has become free, and removes records that are older than retiredCallRetention.
-func (s *State) retireCall(id CallID) {
+// recordRetiredCall records an acquire whose lock has become free, and removes records that are older than retiredCallRetention.
+func (s *State) recordRetiredCall(id CallID) {
 	outdated := 0
 	for outdated < len(s.retiredCalls) && s.logTime-s.retiredCalls[outdated].retiredAt > retiredCallRetention {
 		outdated++
@@ -123,14 +123,14 @@
 	s.retiredCalls = append(slices.Delete(s.retiredCalls, 0, outdated), retiredCall{callID: id, retiredAt: s.logTime})
 }
 
-func (s *State) isRetired(id CallID) bool {
+func (s *State) isRetiredCall(id CallID) bool {
 	return !s.knobs.AcceptRetiredCall && slices.ContainsFunc(s.retiredCalls, func(r retiredCall) bool { return r.callID == id })
 }
 
 // removeExpiredLocks removes locks whose lease has expired, and reports whether it removed any.
 func (s *State) removeExpiredLocks() bool {
 	before := len(s.locks)
-	maps.DeleteFunc(s.locks, func(_ string, l *lockState) bool { return s.isFree(l) })
+	maps.DeleteFunc(s.locks, func(_ string, l *lockState) bool { return s.isLockFree(l) })
 	return len(s.locks) < before
 }
 
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -11,13 +11,13 @@
 // the same bytes.
 func (s *State) Snapshot() []byte {
 	var enc encoder
-	enc.uint(formatVersion)
-	enc.duration(s.logTime)
+	enc.writeUint(formatVersion)
+	enc.writeDuration(s.logTime)
 	lastFencingToken := s.lastFencingToken
 	if s.knobs.SnapshotWithoutFencingToken {
 		lastFencingToken = 0
 	}
-	enc.uint(lastFencingToken)
+	enc.writeUint(lastFencingToken)
 	s.encodeLocks(&enc)
 	s.encodeNumbers(&enc)
 	s.encodeKeys(&enc)
@@ -42,108 +42,108 @@
 }
 
 func (c *contents) encodeLocks(enc *encoder) {
-	enc.uint(uint64(len(c.locks)))
+	enc.writeUint(uint64(len(c.locks)))
 	for _, name := range slices.Sorted(maps.Keys(c.locks)) {
 		l := c.locks[name]
-		enc.string(name)
-		enc.string(l.holder)
-		enc.uint(l.fencingToken)
-		enc.duration(l.expiresAt)
+		enc.writeString(name)
+		enc.writeString(l.holder)
+		enc.writeUint(l.fencingToken)
+		enc.writeDuration(l.expiresAt)
 		encodeCallID(enc, l.callID)
-		enc.duration(l.lastAcquireAt)
-		enc.bool(l.reacquired)
+		enc.writeDuration(l.lastAcquireAt)
+		enc.writeBool(l.reacquired)
 	}
-	enc.uint(uint64(len(c.retiredCalls)))
+	enc.writeUint(uint64(len(c.retiredCalls)))
 	for _, r := range c.retiredCalls {
 		encodeCallID(enc, r.callID)
-		enc.duration(r.retiredAt)
+		enc.writeDuration(r.retiredAt)
 	}
 }
 
 func (c *contents) encodeNumbers(enc *encoder) {
-	enc.uint(uint64(len(c.numbers)))
+	enc.writeUint(uint64(len(c.numbers)))
 	for _, name := range slices.Sorted(maps.Keys(c.numbers)) {
-		enc.string(name)
-		enc.uint(c.numbers[name])
+		enc.writeString(name)
+		enc.writeUint(c.numbers[name])
 	}
 }
 
 func (s *State) encodeKeys(enc *encoder) {
-	enc.uint(uint64(len(s.keys.groups)))
+	enc.writeUint(uint64(len(s.keys.groups)))
 	for _, name := range slices.Sorted(maps.Keys(s.keys.groups)) {
-		enc.string(name)
+		enc.writeString(name)
 		s.keys.groups[name].encode(enc, s.knobs.SnapshotWithoutHistory)
 	}
 	putOrder := s.keys.putOrder
 	if s.knobs.SnapshotWithoutPuts {
 		putOrder = nil
 	}
-	enc.uint(uint64(len(putOrder)))
+	enc.writeUint(uint64(len(putOrder)))
 	for _, digest := range putOrder {
 		enc.bytes = append(enc.bytes, digest[:]...)
-		enc.uint(s.keys.putRevisions[digest])
+		enc.writeUint(s.keys.putRevisions[digest])
 	}
 }
 
 func (k *keyGroup) encode(enc *encoder, withoutHistory bool) {
-	enc.uint(k.revision)
-	enc.uint(k.compactedRevision)
-	enc.uint(uint64(len(k.keys)))
+	enc.writeUint(k.revision)
+	enc.writeUint(k.compactedRevision)
+	enc.writeUint(uint64(len(k.keys)))
 	for _, key := range slices.Sorted(maps.Keys(k.keys)) {
-		enc.string(key)
-		enc.string(k.keys[key].value)
-		enc.uint(k.keys[key].revision)
+		enc.writeString(key)
+		enc.writeString(k.keys[key].value)
+		enc.writeUint(k.keys[key].revision)
 	}
 	events := k.events
 	if withoutHistory {
 		events = nil
 	}
-	enc.uint(uint64(len(events)))
+	enc.writeUint(uint64(len(events)))
 	for i := range events {
 		events[i].Event.encode(enc)
-		enc.duration(events[i].recordedAt)
+		enc.writeDuration(events[i].recordedAt)
 	}
 }
 
 func (c *contents) decode(snapshot []byte) error {
 	dec := decoder{bytes: snapshot}
-	if version := dec.uint(); dec.err == nil && version != formatVersion {
+	if version := dec.readUint(); dec.err == nil && version != formatVersion {
 		return errors.Wrapf(ErrUnknownVersion, "snapshot version %d", version)
 	}
-	c.logTime = dec.duration()
-	c.lastFencingToken = dec.uint()
+	c.logTime = dec.readDuration()
+	c.lastFencingToken = dec.readUint()
 	c.decodeLocks(&dec)
-	for range dec.count() {
-		name := dec.string()
-		c.numbers[name] = dec.uint()
+	for range dec.readCount() {
+		name := dec.readString()
+		c.numbers[name] = dec.readUint()
 	}
 	c.keys.decode(&dec)
 	return dec.err
 }
 
 func (c *contents) decodeLocks(dec *decoder) {
-	for range dec.count() {
-		name := dec.string()
+	for range dec.readCount() {
+		name := dec.readString()
 		c.locks[name] = &lockState{
-			holder:        dec.string(),
-			fencingToken:  dec.uint(),
-			expiresAt:     dec.duration(),
+			holder:        dec.readString(),
+			fencingToken:  dec.readUint(),
+			expiresAt:     dec.readDuration(),
 			callID:        decodeCallID(dec),
-			lastAcquireAt: dec.duration(),
-			reacquired:    dec.bool(),
+			lastAcquireAt: dec.readDuration(),
+			reacquired:    dec.readBool(),
 		}
 	}
-	for range dec.count() {
-		c.retiredCalls = append(c.retiredCalls, retiredCall{callID: decodeCallID(dec), retiredAt: dec.duration()})
+	for range dec.readCount() {
+		c.retiredCalls = append(c.retiredCalls, retiredCall{callID: decodeCallID(dec), retiredAt: dec.readDuration()})
 	}
 }
 
 func (k *keyTable) decode(dec *decoder) {
-	for range dec.count() {
-		name := dec.string()
+	for range dec.readCount() {
+		name := dec.readString()
 		k.groups[name] = k.decodeGroup(dec)
 	}
-	for range dec.count() {
+	for range dec.readCount() {
 		var digest putDigest
 		if dec.err != nil || len(dec.bytes) < len(digest) {
 			dec.err = ErrTruncated
@@ -151,23 +151,23 @@
 		}
 		dec.bytes = dec.bytes[copy(digest[:], dec.bytes):]
 		k.putOrder = append(k.putOrder, digest)
-		k.putRevisions[digest] = dec.uint()
+		k.putRevisions[digest] = dec.readUint()
 	}
 }
 
 // decodeGroup decodes a key group and adds its size to the table's.
 func (k *keyTable) decodeGroup(dec *decoder) *keyGroup {
-	g := &keyGroup{revision: dec.uint(), compactedRevision: dec.uint(), keys: map[string]keyValue{}}
-	for range dec.count() {
-		key := dec.string()
-		v := keyValue{value: dec.string(), revision: dec.uint()}
+	g := &keyGroup{revision: dec.readUint(), compactedRevision: dec.readUint(), keys: map[string]keyValue{}}
+	for range dec.readCount() {
+		key := dec.readString()
+		v := keyValue{value: dec.readString(), revision: dec.readUint()}
 		g.keys[key] = v
 		k.bytes += len(key) + len(v.value) + eventOverhead
 	}
-	for range dec.count() {
-		e := storedEvent{Event: decodeEvent(dec), recordedAt: dec.duration()}
+	for range dec.readCount() {
+		e := storedEvent{Event: decodeEvent(dec), recordedAt: dec.readDuration()}
 		g.events = append(g.events, e)
-		k.historyBytes += e.size()
+		k.historyBytes += e.sizeInBytes()
 	}
 	return g
 }
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -46,21 +46,21 @@
 	// A new leader may have stamped entries by a clock that was behind. Log time never goes back.
 	s.logTime = max(s.logTime, e.logTime)
 	s.onLogTimeAdvanced()
-	return encodeResult(s.apply(&e))
+	return encodeResult(s.applyEntry(&e))
 }
 
-func (s *State) apply(e *entry) Result {
+func (s *State) applyEntry(e *entry) Result {
 	switch e.call.Operation {
 	case LockAcquire:
-		return s.acquire(e)
+		return s.acquireLock(e)
 	case LockRenew:
-		return s.renew(&e.call)
+		return s.renewLease(&e.call)
 	case LockRelease:
-		return s.release(&e.call)
+		return s.releaseLock(&e.call)
 	case NumberNext:
 		return s.nextNumber(e.call.Name)
 	case KeyPut:
-		return s.put(&e.call)
+		return s.putKey(&e.call)
 	}
 	return Result{Status: StatusAmbiguous}
 }
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -51,7 +51,7 @@
 		before := s.Snapshot()
 		s.Apply(11, rapid.SliceOf(rapid.Byte()).Draw(t, "entry"))
 		after := s.Snapshot()
-		if cut := rapid.IntRange(1, len(before)-1).Draw(t, "cut"); s.Restore(before[:cut]) != nil {
+		if length := rapid.IntRange(1, len(before)-1).Draw(t, "cut"); s.Restore(before[:length]) != nil {
 			must.Eq(t, after, s.Snapshot())
 		}
 	})
@@ -94,7 +94,7 @@
 func TestRepeatedPutKeepsFirstRevision(t *testing.T) {
 	s := NewState(time.Second)
 	put := func(value string, expected uint64) Result {
-		return s.put(&Call{Operation: KeyPut, Name: "g.k", Value: value, Conditional: true, ExpectedRevision: expected})
+		return s.putKey(&Call{Operation: KeyPut, Name: "g.k", Value: value, Conditional: true, ExpectedRevision: expected})
 	}
 	must.Eq(t, Result{Revision: 1}, put("a", 0))
 	must.Eq(t, Result{Revision: 2}, put("b", 1))
@@ -103,6 +103,6 @@
 	must.Eq(t, Result{Revision: 1}, put("a", 0))
 	must.Eq(t, Result{Status: StatusConflict, Revision: 2}, put("c", 1))
 	must.Eq(t, Result{Status: StatusConflict, Revision: 2}, put("c", 0)) // 0 means that the key must never have been put
-	must.Eq(t, Result{Revision: 3}, s.put(&Call{Operation: KeyPut, Name: "g.k", Value: "c"}))
-	must.Eq(t, Result{Status: StatusConflict}, s.put(&Call{Operation: KeyPut, Name: "g.new", Value: "x", Conditional: true, ExpectedRevision: 7}))
+	must.Eq(t, Result{Revision: 3}, s.putKey(&Call{Operation: KeyPut, Name: "g.k", Value: "c"}))
+	must.Eq(t, Result{Status: StatusConflict}, s.putKey(&Call{Operation: KeyPut, Name: "g.new", Value: "x", Conditional: true, ExpectedRevision: 7}))
 }
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -42,13 +42,13 @@
 	}
 	for id := range groups.ID(groups.Count) {
 		if state := s.hosted[id].state; state != nil {
-			status.Groups = append(status.Groups, state.status(id, s.isLeader(id)))
+			status.Groups = append(status.Groups, state.groupStatus(id, s.isLeader(id)))
 		}
 	}
 	return status
 }
 
-func (s *State) status(id groups.ID, isLeader bool) GroupStatus {
+func (s *State) groupStatus(id groups.ID, isLeader bool) GroupStatus {
 	status := GroupStatus{
 		ID:           id,
 		IsLeader:     isLeader,
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -28,7 +28,7 @@
 		})
 		return
 	}
-	if result := state.eventsAfter(c.Name, c.AfterRevision); result.endsWatch() {
+	if result := state.eventsAfter(c.Name, c.AfterRevision); result.hasEventsOrError() {
 		reply(AttemptDone, result)
 		return
 	}
@@ -41,14 +41,14 @@
 		reply:         reply,
 	}
 	if c.Timeout <= 0 || len(s.parkedWatches) >= maxParkedWatches {
-		s.expireWatch(w)
+		s.answerExpiredWatch(w)
 		return
 	}
 	s.parkWatch(w)
 }
 
-// endsWatch reports whether a watch with this result ends, because the result has events or an error.
-func (r *Result) endsWatch() bool { return r.Status != StatusOK || len(r.Events) > 0 }
+// hasEventsOrError reports whether a watch with this result ends, because the result has events or an error.
+func (r *Result) hasEventsOrError() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
 func (s *Service) parkWatch(w *parkedWatch) {
 	s.parkedWatches[w.sequence] = w
@@ -67,8 +67,8 @@
 	}
 }
 
-// parkedWatchesIn returns the parked watches of a group in order of sequence number.
-func (s *Service) parkedWatchesIn(id groups.ID) (list []*parkedWatch) {
+// parkedWatchesOfGroup returns the parked watches of a group in order of sequence number.
+func (s *Service) parkedWatchesOfGroup(id groups.ID) (list []*parkedWatch) {
 	for _, sequence := range sortedKeys(s.parkedWatches) {
 		if w := s.parkedWatches[sequence]; w.group == id {
 			list = append(list, w)
@@ -82,11 +82,11 @@
 		return
 	}
 	s.unparkWatch(w)
-	s.expireWatch(w)
+	s.answerExpiredWatch(w)
 }
 
-// expireWatch answers a watch whose timeout has passed, after a majority has confirmed that the watch has missed no events.
-func (s *Service) expireWatch(w *parkedWatch) {
+// answerExpiredWatch answers a watch whose timeout has passed, after a majority has confirmed that the watch has missed no events.
+func (s *Service) answerExpiredWatch(w *parkedWatch) {
 	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
 		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
 	})
@@ -100,7 +100,7 @@
 		s.changedKeyGroups = s.changedKeyGroups[1:]
 		for _, sequence := range sortedKeys(s.parkedByKeyGroup[keyGroup]) {
 			w := s.parkedWatches[sequence]
-			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.endsWatch() {
+			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.hasEventsOrError() {
 				s.unparkWatch(w)
 				w.reply(AttemptDone, result)
 			}
--- a/internal/gateway/coordination/watch_shared.go
+++ b/internal/gateway/coordination/watch_shared.go
@@ -66,7 +66,7 @@
 	now := s.host.Now()
 	var ended, waiting []watcher
 	for _, caller := range w.watchers {
-		if result.endsWatch() || caller.deadline <= now && caller.coveredByPoll {
+		if result.hasEventsOrError() || caller.deadline <= now && caller.coveredByPoll {
 			ended = append(ended, caller)
 		} else {
 			waiting = append(waiting, caller)
--- a/internal/gateway/coordination/wire.go
+++ b/internal/gateway/coordination/wire.go
@@ -16,10 +16,10 @@
 func (m *Message) Encode() []byte {
 	var enc encoder
 	if m.Request != nil {
-		enc.uint(requestKind)
+		enc.writeUint(requestKind)
 		m.Request.encode(&enc)
 	} else {
-		enc.uint(responseKind)
+		enc.writeUint(responseKind)
 		m.Response.encode(&enc)
 	}
 	return enc.bytes
@@ -29,7 +29,7 @@
 func DecodeMessage(b []byte) (*Message, error) {
 	dec := decoder{bytes: b}
 	var m Message
-	switch kind := dec.uint(); kind {
+	switch kind := dec.readUint(); kind {
 	case requestKind:
 		m.Request = decodeForwardRequest(&dec)
 	case responseKind:
@@ -44,144 +44,144 @@
 }
 
 func (f *ForwardRequest) encode(enc *encoder) {
-	enc.uint(f.OriginIncarnation)
-	enc.uint(uint64(f.Sequence))
-	enc.uint(uint64(f.Attempt))
-	enc.uint(f.TargetIncarnation)
-	enc.duration(f.Deadline)
+	enc.writeUint(f.OriginIncarnation)
+	enc.writeUint(uint64(f.Sequence))
+	enc.writeUint(uint64(f.Attempt))
+	enc.writeUint(f.TargetIncarnation)
+	enc.writeDuration(f.Deadline)
 	f.Call.encode(enc)
 }
 
 func decodeForwardRequest(dec *decoder) *ForwardRequest {
 	f := &ForwardRequest{}
-	f.OriginIncarnation = dec.uint()
-	f.Sequence = uint32(dec.uint())
-	f.Attempt = uint8(dec.uint())
-	f.TargetIncarnation = dec.uint()
-	f.Deadline = dec.duration()
+	f.OriginIncarnation = dec.readUint()
+	f.Sequence = uint32(dec.readUint())
+	f.Attempt = uint8(dec.readUint())
+	f.TargetIncarnation = dec.readUint()
+	f.Deadline = dec.readDuration()
 	f.Call.decode(dec)
 	return f
 }
 
 func (f *ForwardResponse) encode(enc *encoder) {
-	enc.uint(f.OriginIncarnation)
-	enc.uint(uint64(f.Sequence))
-	enc.uint(uint64(f.Attempt))
-	enc.uint(uint64(f.Outcome))
-	enc.string(f.LeaderHint)
-	enc.uint(f.ResponderIncarnation)
-	enc.duration(f.ResponderClock)
+	enc.writeUint(f.OriginIncarnation)
+	enc.writeUint(uint64(f.Sequence))
+	enc.writeUint(uint64(f.Attempt))
+	enc.writeUint(uint64(f.Outcome))
+	enc.writeString(f.LeaderHint)
+	enc.writeUint(f.ResponderIncarnation)
+	enc.writeDuration(f.ResponderClock)
 	f.Result.encode(enc)
 }
 
 func decodeForwardResponse(dec *decoder) *ForwardResponse {
 	f := &ForwardResponse{}
-	f.OriginIncarnation = dec.uint()
-	f.Sequence = uint32(dec.uint())
-	f.Attempt = uint8(dec.uint())
-	f.Outcome = AttemptOutcome(dec.uint())
-	f.LeaderHint = dec.string()
-	f.ResponderIncarnation = dec.uint()
-	f.ResponderClock = dec.duration()
+	f.OriginIncarnation = dec.readUint()
+	f.Sequence = uint32(dec.readUint())
+	f.Attempt = uint8(dec.readUint())
+	f.Outcome = AttemptOutcome(dec.readUint())
+	f.LeaderHint = dec.readString()
+	f.ResponderIncarnation = dec.readUint()
+	f.ResponderClock = dec.readDuration()
 	f.Result.decode(dec)
 	return f
 }
 
 // encode appends the fields that the call's operation uses. Log entries store calls in the same format.
 func (c *Call) encode(enc *encoder) {
-	enc.uint(uint64(c.Operation))
-	enc.string(c.Name)
+	enc.writeUint(uint64(c.Operation))
+	enc.writeString(c.Name)
 	switch c.Operation {
 	case LockAcquire:
-		enc.string(c.Holder)
-		enc.duration(c.TTL)
+		enc.writeString(c.Holder)
+		enc.writeDuration(c.TTL)
 	case LockRenew:
-		enc.string(c.Holder)
-		enc.uint(c.FencingToken)
-		enc.duration(c.TTL)
+		enc.writeString(c.Holder)
+		enc.writeUint(c.FencingToken)
+		enc.writeDuration(c.TTL)
 	case LockRelease:
-		enc.string(c.Holder)
-		enc.uint(c.FencingToken)
+		enc.writeString(c.Holder)
+		enc.writeUint(c.FencingToken)
 	case KeyPut:
-		enc.string(c.Value)
-		enc.bool(c.Conditional)
-		enc.uint(c.ExpectedRevision)
+		enc.writeString(c.Value)
+		enc.writeBool(c.Conditional)
+		enc.writeUint(c.ExpectedRevision)
 	case KeyWatch:
-		enc.uint(c.AfterRevision)
-		enc.duration(c.Timeout)
+		enc.writeUint(c.AfterRevision)
+		enc.writeDuration(c.Timeout)
 	case LockList:
-		enc.uint(uint64(c.Group))
+		enc.writeUint(uint64(c.Group))
 	}
 }
 
 func (c *Call) decode(dec *decoder) {
-	c.Operation = Operation(dec.uint())
-	c.Name = dec.string()
+	c.Operation = Operation(dec.readUint())
+	c.Name = dec.readString()
 	switch c.Operation {
 	case LockAcquire:
-		c.Holder = dec.string()
-		c.TTL = dec.duration()
+		c.Holder = dec.readString()
+		c.TTL = dec.readDuration()
 	case LockRenew:
-		c.Holder = dec.string()
-		c.FencingToken = dec.uint()
-		c.TTL = dec.duration()
+		c.Holder = dec.readString()
+		c.FencingToken = dec.readUint()
+		c.TTL = dec.readDuration()
 	case LockRelease:
-		c.Holder = dec.string()
-		c.FencingToken = dec.uint()
+		c.Holder = dec.readString()
+		c.FencingToken = dec.readUint()
 	case KeyPut:
-		c.Value = dec.string()
-		c.Conditional = dec.bool()
-		c.ExpectedRevision = dec.uint()
+		c.Value = dec.readString()
+		c.Conditional = dec.readBool()
+		c.ExpectedRevision = dec.readUint()
 	case KeyWatch:
-		c.AfterRevision = dec.uint()
-		c.Timeout = dec.duration()
+		c.AfterRevision = dec.readUint()
+		c.Timeout = dec.readDuration()
 	case LockList:
-		c.Group = groups.ID(dec.uint())
+		c.Group = groups.ID(dec.readUint())
 	}
 }
 
 func (r *Result) encode(enc *encoder) {
-	enc.uint(uint64(r.Status))
-	enc.uint(r.FencingToken)
-	enc.uint(r.Number)
-	enc.uint(r.Revision)
-	enc.string(r.Value)
-	enc.uint(uint64(len(r.Events)))
+	enc.writeUint(uint64(r.Status))
+	enc.writeUint(r.FencingToken)
+	enc.writeUint(r.Number)
+	enc.writeUint(r.Revision)
+	enc.writeString(r.Value)
+	enc.writeUint(uint64(len(r.Events)))
 	for i := range r.Events {
 		r.Events[i].encode(enc)
 	}
-	enc.uint(uint64(len(r.Locks)))
+	enc.writeUint(uint64(len(r.Locks)))
 	for _, l := range r.Locks {
-		enc.string(l.Name)
-		enc.string(l.Holder)
-		enc.uint(l.FencingToken)
-		enc.duration(l.TimeLeft)
+		enc.writeString(l.Name)
+		enc.writeString(l.Holder)
+		enc.writeUint(l.FencingToken)
+		enc.writeDuration(l.TimeLeft)
 	}
 }
 
 func (r *Result) decode(dec *decoder) {
-	r.Status = Status(dec.uint())
-	r.FencingToken = dec.uint()
-	r.Number = dec.uint()
-	r.Revision = dec.uint()
-	r.Value = dec.string()
+	r.Status = Status(dec.readUint())
+	r.FencingToken = dec.readUint()
+	r.Number = dec.readUint()
+	r.Revision = dec.readUint()
+	r.Value = dec.readString()
 	if dec.err == nil && r.Status > StatusAmbiguous {
 		dec.err = errors.Wrapf(ErrUnknownVersion, "result status %d", r.Status)
 	}
-	for range dec.count() {
+	for range dec.readCount() {
 		r.Events = append(r.Events, decodeEvent(dec))
 	}
-	for range dec.count() {
-		r.Locks = append(r.Locks, LockInfo{Name: dec.string(), Holder: dec.string(), FencingToken: dec.uint(), TimeLeft: dec.duration()})
+	for range dec.readCount() {
+		r.Locks = append(r.Locks, LockInfo{Name: dec.readString(), Holder: dec.readString(), FencingToken: dec.readUint(), TimeLeft: dec.readDuration()})
 	}
 }
 
 func (e *Event) encode(enc *encoder) {
-	enc.string(e.Name)
-	enc.string(e.Value)
-	enc.uint(e.Revision)
+	enc.writeString(e.Name)
+	enc.writeString(e.Value)
+	enc.writeUint(e.Revision)
 }
 
 func decodeEvent(dec *decoder) Event {
-	return Event{Name: dec.string(), Value: dec.string(), Revision: dec.uint()}
+	return Event{Name: dec.readString(), Value: dec.readString(), Revision: dec.readUint()}
 }
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -58,14 +58,16 @@
 	names := bucketNamesOf(id)
 	for _, name := range [][]byte{names.head, names.snapshot, names.entries} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-			return logBuckets{}, logError("create bucket", id, name, err)
+			return logBuckets{}, newLogError("create bucket", id, name, err)
 		}
 	}
 	return lookupNamedBuckets(tx, id, names), nil
 }
 
-// allMissing reports whether none of the log's buckets exists.
-func (l logBuckets) allMissing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
+// areAllMissing reports whether none of the log's buckets exists.
+func (l logBuckets) areAllMissing() bool {
+	return l.head == nil && l.snapshot == nil && l.entries == nil
+}
 
 // firstMissingBucket returns the name of the first bucket that does not exist, or nil if all exist.
 func (l logBuckets) firstMissingBucket() []byte {
@@ -82,7 +84,7 @@
 
 func (l logBuckets) readHead() (h storedHead, err error) {
 	if err = decodeGob(l.head.Get(headKey), &h); err != nil {
-		return h, logError("read head", l.id, l.names.head, err)
+		return h, newLogError("read head", l.id, l.names.head, err)
 	}
 	return h, nil
 }
@@ -91,14 +93,14 @@
 // 0, any member ID is accepted.
 func (l logBuckets) readLog(wantMemberID replication.MemberID) (state replication.PersistentState, err error) {
 	if name := l.firstMissingBucket(); name != nil {
-		return state, logError("read", l.id, name, ErrBucketMissing)
+		return state, newLogError("read", l.id, name, ErrBucketMissing)
 	}
 	head, err := l.readHead()
 	if err != nil {
 		return state, err
 	}
 	if wantMemberID != 0 && head.Me != wantMemberID {
-		return state, logError("read head", l.id, l.names.head, ErrForeignDisk)
+		return state, newLogError("read head", l.id, l.names.head, ErrForeignDisk)
 	}
 	state = head.toState()
 	if state.Snapshot, err = l.readSnapshot(); err != nil {
@@ -108,7 +110,7 @@
 		return state, err
 	}
 	if err = state.Validate(); err != nil {
-		return state, logError("check", l.id, l.names.entries, err)
+		return state, newLogError("check", l.id, l.names.entries, err)
 	}
 	return state, nil
 }
@@ -121,7 +123,7 @@
 	}
 	var stored storedSnapshot
 	if err := decodeGob(value, &stored); err != nil {
-		return replication.Snapshot{}, logError("read snapshot", l.id, l.names.snapshot, err)
+		return replication.Snapshot{}, newLogError("read snapshot", l.id, l.names.snapshot, err)
 	}
 	return stored.toSnapshot(), nil
 }
@@ -132,7 +134,7 @@
 	err := l.entries.ForEach(func(key, value []byte) error {
 		var stored storedEntry
 		if err := decodeGob(value, &stored); err != nil {
-			return logError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
 		}
 		entries = append(entries, stored.toEntry())
 		return nil
@@ -140,18 +142,18 @@
 	return entries, err
 }
 
-// write applies the snapshot and the entries of a write to the buckets. It does not write the head.
-func (l logBuckets) write(w *replication.Write) error {
+// writeSnapshotAndEntries applies the snapshot and the entries of a write to the buckets. It does not write the head.
+func (l logBuckets) writeSnapshotAndEntries(w *replication.Write) error {
 	if w.Snapshot != nil {
 		if err := putGob(l.snapshot, snapshotKey, newStoredSnapshot(w.Snapshot)); err != nil {
-			return logError("write snapshot", l.id, l.names.snapshot, err)
+			return newLogError("write snapshot", l.id, l.names.snapshot, err)
 		}
 	}
 	// Delete by key instead of through the cursor. In bbolt 1.5 a cursor that deletes entries over several pages and then seeks to the
 	// end loops forever over pages that are already empty.
 	for _, key := range l.obsoleteKeys(w) {
 		if err := l.entries.Delete(key); err != nil {
-			return logError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
 		}
 	}
 	if w.FirstIndex == 0 {
@@ -160,7 +162,7 @@
 	for i := range w.Entries {
 		e := &w.Entries[i]
 		if err := putGob(l.entries, indexKey(e.Index), newStoredEntry(e)); err != nil {
-			return logError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
 		}
 	}
 	return nil
@@ -168,7 +170,7 @@
 
 func (l logBuckets) writeHead(h storedHead) error {
 	if err := putGob(l.head, headKey, h); err != nil {
-		return logError("write head", l.id, l.names.head, err)
+		return newLogError("write head", l.id, l.names.head, err)
 	}
 	return nil
 }
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -34,8 +34,8 @@
 // Unwrap returns the cause.
 func (f *FileError) Unwrap() error { return f.Err }
 
-// fileError wraps err in a FileError. It returns nil if err is nil.
-func fileError(op, path string, err error) error {
+// wrapFileError wraps err in a FileError. It returns nil if err is nil.
+func wrapFileError(op, path string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -103,8 +103,8 @@
 // Unwrap returns the cause.
 func (l *LogError) Unwrap() error { return l.Err }
 
-// logError returns a LogError for an operation on a bucket of a log.
-func logError(op string, log replication.LogID, bucket []byte, err error) error {
+// newLogError returns a LogError for an operation on a bucket of a log.
+func newLogError(op string, log replication.LogID, bucket []byte, err error) error {
 	return &LogError{Operation: op, Log: log, Bucket: string(bucket), Err: err}
 }
 
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -12,7 +12,7 @@
 )
 
 // An operator needs to find the damage in a corrupt file. Its error names the file, the log, the bucket and the failed operation.
-func TestErrorsNameFileLogAndBucket(t *testing.T) {
+func TestErrorsIdentifyFileLogAndBucket(t *testing.T) {
 	const group = replication.LogID(3)
 	for _, c := range []struct {
 		name      string
@@ -41,7 +41,7 @@
 		must.NoError(t, err)
 		must.NoError(t, store.Write([]replication.LogWrite{{Log: group, Write: replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}},
-			Entries:  []replication.Entry{entry(2, 1, "a"), entry(3, 1, "b")}}}}))
+			Entries:  []replication.Entry{newEntry(2, 1, "a"), newEntry(3, 1, "b")}}}}))
 		must.NoError(t, store.file.Update(c.corrupt))
 		must.NoError(t, store.Close())
 
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -71,14 +71,14 @@
 		return contents{}, nil
 	}
 	if err != nil {
-		return contents{}, fileError("stat", path, err)
+		return contents{}, wrapFileError("stat", path, err)
 	}
 	if info.Size() == 0 { // the process that created the file ended before its first write
 		return contents{}, nil
 	}
 	c, err := openAndRead(path)
 	if errors.Is(err, os.ErrPermission) || errors.Is(err, berrors.ErrTimeout) {
-		return contents{}, fileError("open", path, err)
+		return contents{}, wrapFileError("open", path, err)
 	}
 	if err != nil {
 		return contents{}, &CorruptError{Path: path, Err: err}
@@ -97,7 +97,7 @@
 		file = opened
 		return opened, err
 	}
-	err := recoverFault(func() error {
+	err := runRecoveringPanics(func() error {
 		db, err := bbolt.Open(path, fileMode, options)
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 func readContents(db *bbolt.DB) (c contents, err error) {
 	return c, db.View(func(tx *bbolt.Tx) error {
 		configuration := lookupBuckets(tx, replication.ConfigurationLog)
-		if configuration.allMissing() {
+		if configuration.areAllMissing() {
 			return nil
 		}
 		if c.configuration, err = configuration.readLog(0); err != nil {
@@ -126,7 +126,7 @@
 		c.groups = map[replication.LogID]replication.PersistentState{}
 		for id := replication.ConfigurationLog + 1; id < maxLogs; id++ {
 			group := lookupBuckets(tx, id)
-			if group.allMissing() {
+			if group.areAllMissing() {
 				continue
 			}
 			if c.groups[id], err = group.readLog(c.configuration.ID); err != nil {
@@ -139,7 +139,7 @@
 
 // openForWriting opens the file for writing. With create it also initializes a new file. After an error s.file is nil.
 func (s *Store) openForWriting(create bool) error {
-	err := recoverFault(func() (err error) {
+	err := runRecoveringPanics(func() (err error) {
 		s.file, err = bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true,
 			FreelistType: bbolt.FreelistMapType, InitialMmapSize: initialMmapBytes, NoStatistics: true, OpenFile: s.filesystem.OpenFile})
 		if err != nil {
@@ -155,7 +155,7 @@
 		s.file.Close()
 		s.file = nil
 	}
-	return fileError("open", s.path, err)
+	return wrapFileError("open", s.path, err)
 }
 
 // initialize writes the initial content of a new file and makes its directory entry durable.
@@ -175,22 +175,22 @@
 // Wipe removes the file permanently, under its present and its former name. The disk then counts as lost, and the next Open generates a
 // new member ID.
 func Wipe(dir string) error {
-	return wipe(osFilesystem{}, dir, FileName, formerFileName)
+	return removeFiles(osFilesystem{}, dir, FileName, formerFileName)
 }
 
-// wipe removes the named files from a directory and syncs the directory. A file that does not exist is not an error.
-func wipe(fs filesystem, dir string, names ...string) error {
+// removeFiles removes the named files from a directory and syncs the directory. A file that does not exist is not an error.
+func removeFiles(fs filesystem, dir string, names ...string) error {
 	for _, name := range names {
 		path := filepath.Join(dir, name)
 		if err := fs.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fileError("remove", path, err)
+			return wrapFileError("remove", path, err)
 		}
 	}
-	return fileError("sync", dir, fs.Sync(dir))
+	return wrapFileError("sync", dir, fs.Sync(dir))
 }
 
-// recoverFault runs do and returns a panic or a memory fault in a mapping as an error.
-func recoverFault(do func() error) (err error) {
+// runRecoveringPanics runs do and returns a panic or a memory fault in a mapping as an error.
+func runRecoveringPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -22,12 +22,12 @@
 // formerFileName is the name of the file in versions up to that of 2 December 2026 (dd5a45a).
 const formerFileName = "promptbook.db"
 
-// findFile reads the file in the directory under its present or former name and sets s.path to its path. If there is no state, s.path has
+// locateAndReadFile reads the file in the directory under its present or former name and sets s.path to its path. If there is no state, s.path has
 // the present name.
-func (s *Store) findFile() (contents, error) {
+func (s *Store) locateAndReadFile() (contents, error) {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	s.path = current
-	if s.hasBothNames = sameFile(current, former); s.hasBothNames {
+	if s.hasBothNames = isSameFile(current, former); s.hasBothNames {
 		return readFile(current)
 	}
 	currentContents, currentErr := readFile(current)
@@ -43,54 +43,54 @@
 	case currentErr == nil && currentContents.isEmpty():
 		s.path = former
 		return formerContents, formerErr
-	case sameBytes(current, former):
-		s.path = former // migrateFileName renames it over the identical file
+	case haveSameBytes(current, former):
+		s.path = former // replaceFormerName renames it over the identical file
 		return formerContents, formerErr
 	}
-	return contents{}, &ConflictError{Current: summarize(current, &currentContents, currentErr),
-		Former: summarize(former, &formerContents, formerErr)}
+	return contents{}, &ConflictError{Current: newFileSummary(current, &currentContents, currentErr),
+		Former: newFileSummary(former, &formerContents, formerErr)}
 }
 
-// summarize returns the summary of a file for a ConflictError.
-func summarize(path string, c *contents, err error) FileSummary {
+// newFileSummary returns the summary of a file for a ConflictError.
+func newFileSummary(path string, c *contents, err error) FileSummary {
 	return FileSummary{Path: path, ID: c.configuration.ID, Term: c.configuration.Term, Commit: c.configuration.Commit, Err: err}
 }
 
-// sameFile reports whether two paths name the same file. A filesystem may leave this state after a power loss during a rename.
-func sameFile(a, b string) bool {
+// isSameFile reports whether two paths name the same file. A filesystem may leave this state after a power loss during a rename.
+func isSameFile(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
 	return errA == nil && errB == nil && os.SameFile(infoA, infoB)
 }
 
-// sameBytes reports whether two files have the same content. It returns false if one of them cannot be read.
-func sameBytes(a, b string) bool {
+// haveSameBytes reports whether two files have the same content. It returns false if one of them cannot be read.
+func haveSameBytes(a, b string) bool {
 	bytesA, errA := os.ReadFile(a)
 	bytesB, errB := os.ReadFile(b)
 	return errA == nil && errB == nil && bytes.Equal(bytesA, bytesB)
 }
 
-// migrateFileName leaves the open file with its present name only. The file is locked meanwhile, so no other process uses it under either
+// replaceFormerName leaves the open file with its present name only. The file is locked meanwhile, so no other process uses it under either
 // name.
-func (s *Store) migrateFileName() error {
+func (s *Store) replaceFormerName() error {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	switch {
 	case s.path == former:
 		if err := s.filesystem.Sync(former); err != nil {
-			return fileError("sync", former, err)
+			return wrapFileError("sync", former, err)
 		}
 		if err := s.filesystem.Rename(former, current); err != nil {
-			return fileError("rename", former, err)
+			return wrapFileError("rename", former, err)
 		}
 		// A power loss before the directory is synced may restore the former name. It names the same file, so the next Open finds the file
 		// under that name.
 		s.path = current
 	case s.hasBothNames:
 		if err := s.filesystem.Remove(former); err != nil {
-			return fileError("remove", former, err)
+			return wrapFileError("remove", former, err)
 		}
 	default:
 		return nil
 	}
-	return fileError("sync", s.dir, s.filesystem.Sync(s.dir))
+	return wrapFileError("sync", s.dir, s.filesystem.Sync(s.dir))
 }
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -22,7 +22,7 @@
 	s, want, err := Open(dir)
 	must.NoError(t, err)
 	w := foundingWrite(want.ID)
-	w.Entries = []replication.Entry{entry(2, 1, "a")}
+	w.Entries = []replication.Entry{newEntry(2, 1, "a")}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: w}}))
 	want.Apply(w)
 	must.NoError(t, s.Close())
@@ -63,14 +63,14 @@
 func TestFormerNameIsReplaced(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	fs := &faultyFilesystem{}
-	s, got, err := open(dir, fs)
+	s, got, err := openOnFilesystem(dir, fs)
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, []string{"sync file", "rename", "sync directory"}, fs.steps)
 	must.Eq(t, filepath.Join(dir, FileName), s.path) // errors name this path from now on
 	must.Eq(t, want, got)
 	must.Eq(t, []string{FileName}, fileNames(t, dir))
-	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
 	must.NoError(t, s.Close())
@@ -103,10 +103,10 @@
 // the same file.
 func TestUndoneRenameKeepsLaterWrites(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
-	s, _, err := open(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
+	s, _, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
 	must.NoError(t, err)
 	must.ErrorIs(t, s.RenameError(), unix.EIO)
-	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
 	must.NoError(t, s.Close())
@@ -119,13 +119,13 @@
 func TestFailedRenameKeepsFormerName(t *testing.T) {
 	for _, step := range []string{"sync file", "rename"} {
 		dir, want := newDirWithFormerName(t)
-		s, got, err := open(dir, &faultyFilesystem{failures: map[string]error{step: unix.ENOSPC}})
+		s, got, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{step: unix.ENOSPC}})
 		must.NoError(t, err)
 		must.ErrorIs(t, s.RenameError(), unix.ENOSPC)
 		must.StrContains(t, s.RenameError().Error(), filepath.Join(dir, formerFileName))
 		must.Eq(t, want, got)
 		must.Eq(t, []string{formerFileName}, fileNames(t, dir))
-		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 		must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 		want.Apply(later)
 		must.NoError(t, s.Close())
@@ -196,7 +196,7 @@
 
 // Open rejects and does not change two files if both hold a state or one of them cannot be read. The older file lacks votes and entries, so
 // using it could lose them. After an operator has removed one file, Open uses the other.
-func TestTwoStatesAreRefused(t *testing.T) {
+func TestOpenRejectsTwoStates(t *testing.T) {
 	for name, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
 		"file of another disk made by an earlier version": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
@@ -220,7 +220,7 @@
 		must.NoError(t, os.Rename(former, formerAside))
 		makeCurrent(t, dir, want.ID)
 		must.NoError(t, os.Rename(formerAside, former))
-		before := readAll(t, current, former)
+		before := readFiles(t, current, former)
 
 		_, _, err := Open(dir)
 		var conflict *ConflictError
@@ -230,17 +230,17 @@
 		must.Eq(t, want.Commit, conflict.Former.Commit)
 		must.StrContains(t, err.Error(), current)
 		must.StrContains(t, err.Error(), fmt.Sprintf("%s (member %x, term 1, commit index 1)", former, uint64(want.ID)))
-		must.Eq(t, before, readAll(t, current, former))
+		must.Eq(t, before, readFiles(t, current, former))
 		must.NoError(t, os.Remove(current))
 		requireState(t, dir, want)
 	}
 }
 
 // If the former name cannot be removed, it stays. The next Open recognizes both names as the same file.
-func TestFailedRemovalOfFormerName(t *testing.T) {
+func TestFailedRemovalKeepsFormerName(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	must.NoError(t, os.Link(filepath.Join(dir, formerFileName), filepath.Join(dir, FileName)))
-	store, got, err := open(dir, &faultyFilesystem{failures: map[string]error{"remove": unix.ENOSPC}})
+	store, got, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{"remove": unix.ENOSPC}})
 	must.NoError(t, err)
 	must.ErrorIs(t, store.RenameError(), unix.ENOSPC)
 	must.Eq(t, want, got)
@@ -248,8 +248,8 @@
 	requireState(t, dir, want)
 }
 
-// readAll returns the contents of files.
-func readAll(t *testing.T, paths ...string) (contents [][]byte) {
+// readFiles returns the contents of files.
+func readFiles(t *testing.T, paths ...string) (contents [][]byte) {
 	t.Helper()
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -21,8 +21,8 @@
 // errCrash is the panic value that simulates the end of the process.
 var errCrash = errors.New("simulated crash of the process")
 
-// step records a step and returns its injected error. It panics with errCrash at the step crashAt.
-func (f *faultyFilesystem) step(name string) error {
+// recordStep records a step and returns its injected error. It panics with errCrash at the step crashAt.
+func (f *faultyFilesystem) recordStep(name string) error {
 	f.steps = append(f.steps, name)
 	if len(f.steps) == f.crashAt {
 		panic(errCrash)
@@ -44,21 +44,21 @@
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
 		stepName = "sync directory"
 	}
-	if err := f.step(stepName); err != nil {
+	if err := f.recordStep(stepName); err != nil {
 		return err
 	}
 	return f.osFilesystem.Sync(name)
 }
 
 func (f *faultyFilesystem) Rename(from, to string) error {
-	if err := f.step("rename"); err != nil {
+	if err := f.recordStep("rename"); err != nil {
 		return err
 	}
 	return f.osFilesystem.Rename(from, to)
 }
 
 func (f *faultyFilesystem) Remove(name string) error {
-	if err := f.step("remove"); err != nil {
+	if err := f.recordStep("remove"); err != nil {
 		return err
 	}
 	return f.osFilesystem.Remove(name)
@@ -75,7 +75,7 @@
 			f.releaseLocks()
 		}
 	}()
-	s, _, err := open(dir, f)
+	s, _, err := openOnFilesystem(dir, f)
 	must.NoError(t, err)
 	must.NoError(t, s.Close())
 	return false
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -30,7 +30,7 @@
 	appendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
 		w := replication.Write{ClusterID: 5 + uint64(id), Term: term, Commit: 1, FirstIndex: from}
 		for i, text := range data {
-			w.Entries = append(w.Entries, entry(from+uint64(i), term, text))
+			w.Entries = append(w.Entries, newEntry(from+uint64(i), term, text))
 		}
 		return replication.LogWrite{Log: id, Write: w}
 	}
@@ -41,7 +41,7 @@
 		{appendWrite(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
 			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
-			Entries: []replication.Entry{entry(4, 1, "h")}}}},
+			Entries: []replication.Entry{newEntry(4, 1, "h")}}}},
 		{foundingWrite(2)},
 	} {
 		must.NoError(t, store.Write(batch))
@@ -78,7 +78,7 @@
 	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, Term: 1, Data: make([]byte, 4<<20)}}
 	store.file.MaxSize = 1 << 20
 	small := tooLong
-	small.Entries = []replication.Entry{entry(2, 1, "small")}
+	small.Entries = []replication.Entry{newEntry(2, 1, "small")}
 	must.Error(t, store.Write([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
 	must.NoError(t, store.Close())
 	store, state, err = Open(dir)
@@ -125,18 +125,18 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	spent := func() int64 {
+	processorTime := func() int64 {
 		var r unix.Rusage
 		must.NoError(b, unix.Getrusage(unix.RUSAGE_THREAD, &r))
 		return r.Utime.Nano() + r.Stime.Nano()
 	}
-	began, n := spent(), 0
+	timeAtStart, n := processorTime(), 0
 	for b.Loop() {
 		index := uint64(2 + n/8)
 		must.NoError(b, store.Write([]replication.LogWrite{{Log: replication.LogID(1 + n%8), Write: replication.Write{ClusterID: 1, Term: 1,
 			Commit: index - 1, FirstIndex: index, Entries: []replication.Entry{{Index: index, Term: 1, Data: make([]byte, 100)}}}}}))
 		n++
 	}
-	b.ReportMetric(float64(spent()-began)/float64(n)/1e3, "cpu-us/op")
+	b.ReportMetric(float64(processorTime()-timeAtStart)/float64(n)/1e3, "cpu-us/op")
 	must.NoError(b, store.Close())
 }
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -245,16 +245,16 @@
 			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
 		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Spec.Failing))
 		must.SliceLen(t, 2, run.History)
-		must.Eq(t, "start 1 5000 ana 1796229222189", historyEntryText(run.History[0]))
-		must.Eq(t, "step 1 9000  1796229222438", historyEntryText(run.History[1]))
+		must.Eq(t, "start 1 5000 ana 1796229222189", formatHistoryEntry(run.History[0]))
+		must.Eq(t, "step 1 9000  1796229222438", formatHistoryEntry(run.History[1]))
 		must.True(t, machine.Rollouts.CallApplied("m-1"))
 		must.True(t, machine.Rollouts.CallApplied("m-2"))
 		must.False(t, machine.Rollouts.CallApplied("m-3"))
 	}
 }
 
-// historyEntryText returns the fields of a history entry separated by spaces.
-func historyEntryText(p rollout.HistoryEntry) string {
+// formatHistoryEntry returns the fields of a history entry separated by spaces.
+func formatHistoryEntry(p rollout.HistoryEntry) string {
 	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.Author, " ", p.UnixMilli)
 }
 
@@ -266,12 +266,12 @@
 	defer store.Close()
 	var records []registry.WireRecord
 	must.NoError(t, gob.NewDecoder(bytes.NewReader(store.SoftState())).Decode(&records))
-	record := func(id, addr, version string, owner registry.Slot, age time.Duration) registry.WireRecord {
+	newRecord := func(id, addr, version string, owner registry.Slot, age time.Duration) registry.WireRecord {
 		return registry.WireRecord{ID: id, Service: "s", Addr: addr, Zone: "z", Generation: version, Capacity: 100, Phase: registry.Ready,
 			Seq: 1, Age: age, Keeper: owner, Fence: 1, Missed: -1}
 	}
-	must.Eq(t, []registry.WireRecord{record("v1-0", "127.0.0.1:37969", "v1", 2, 71911585), record("v1-1", "127.0.0.1:39631", "v1", 0, 72106723),
-		record("v2-2", "127.0.0.1:38577", "v2", 3, 71444197)}, records)
+	must.Eq(t, []registry.WireRecord{newRecord("v1-0", "127.0.0.1:37969", "v1", 2, 71911585), newRecord("v1-1", "127.0.0.1:39631", "v1", 0, 72106723),
+		newRecord("v2-2", "127.0.0.1:38577", "v2", 3, 71444197)}, records)
 }
 
 // The groups' logs restore to the locks, numbers and keys that were acknowledged. Some are in a snapshot and some in entries after it.
@@ -281,17 +281,17 @@
 		must.NoError(t, err)
 		must.NoError(t, store.Close())
 		s := restoreCoordination(t, store.GroupLogs())
-		lock := func(name, holder string, fence uint64, left string) coordination.LockInfo {
+		newLockInfo := func(name, holder string, fence uint64, left string) coordination.LockInfo {
 			d, err := time.ParseDuration(left)
 			must.NoError(t, err)
 			return coordination.LockInfo{Name: name, Holder: holder, FencingToken: fence, TimeLeft: d}
 		}
 		for id, want := range [groups.Count][]coordination.LockInfo{
-			0: {lock("l2f", "ben", 1, "8m59.071888s")},
-			1: {lock("l1f", "ana", 1, "9m59.070846s"), lock("name-15", "gil", 3, "9m49.810523s"),
-				lock("name-24", "ivo", 5, "9m39.999716s"), lock("name-3", "fay", 2, "9m59.8069s")},
-			4: {lock("n2", "eva", 2, "7m0.001s")},
-			7: {lock("l3f", "cyd", 1, "9m59.750444s")},
+			0: {newLockInfo("l2f", "ben", 1, "8m59.071888s")},
+			1: {newLockInfo("l1f", "ana", 1, "9m59.070846s"), newLockInfo("name-15", "gil", 3, "9m49.810523s"),
+				newLockInfo("name-24", "ivo", 5, "9m39.999716s"), newLockInfo("name-3", "fay", 2, "9m59.8069s")},
+			4: {newLockInfo("n2", "eva", 2, "7m0.001s")},
+			7: {newLockInfo("l3f", "cyd", 1, "9m59.750444s")},
 		} {
 			must.Eq(t, want, submitCall(s, coordination.Call{Operation: coordination.LockList, Group: groups.ID(id)}).Locks)
 		}
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -72,8 +72,8 @@
 	must.NoError(t, err)
 	rng := rand.New(rand.NewPCG(3, seed))
 	members := []replication.Member{{ID: state.ID, Addr: "a"}}
-	term, at := uint64(1), uint64(1)
-	apply := func(w replication.Write) {
+	term, lastIndex := uint64(1), uint64(1)
+	writeAndApply := func(w replication.Write) {
 		w.ClusterID, w.Term = 1, term
 		must.NoError(t, writeConfiguration(store, []replication.Write{w}))
 		state.Apply(w)
@@ -82,31 +82,31 @@
 	entry := func(index uint64) replication.Entry {
 		return replication.Entry{Index: index, Term: term, Data: make([]byte, stateBytes-rng.IntN(stateBytes/20))}
 	}
-	snap := func(index uint64) *replication.Snapshot {
+	newSnapshot := func(index uint64) *replication.Snapshot {
 		return &replication.Snapshot{Index: index, Term: term, Members: members, State: make([]byte, stateBytes+stateBytes/100)}
 	}
-	apply(replication.Write{Snapshot: snap(1), Commit: 1})
+	writeAndApply(replication.Write{Snapshot: newSnapshot(1), Commit: 1})
 	for range times {
-		one, two := entry(at+1), entry(at+2)
+		one, two := entry(lastIndex+1), entry(lastIndex+2)
 		switch rng.IntN(4) {
 		case 0: // the entries are written one by one
-			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one}})
-			apply(replication.Write{Commit: at + 1, FirstIndex: at + 2, Entries: []replication.Entry{two}})
-			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
+			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{one}})
+			writeAndApply(replication.Write{Commit: lastIndex + 1, FirstIndex: lastIndex + 2, Entries: []replication.Entry{two}})
+			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
 		case 1: // another leader's entries replace them
-			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
+			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{one, two}})
 			term++
-			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{entry(at + 1), entry(at + 2)}})
-			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
+			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{entry(lastIndex + 1), entry(lastIndex + 2)}})
+			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
 		case 2: // a snapshot and entries in one write, as after a disk that hung
-			apply(replication.Write{Commit: at + 1, Snapshot: snap(at), FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
-			apply(replication.Write{Commit: at + 2, Snapshot: snap(at + 2)})
+			writeAndApply(replication.Write{Commit: lastIndex + 1, Snapshot: newSnapshot(lastIndex), FirstIndex: lastIndex + 1, Entries: []replication.Entry{one, two}})
+			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
 		case 3: // a snapshot of another member, as after this member was offline
-			apply(replication.Write{Commit: at, FirstIndex: at + 1, Entries: []replication.Entry{one, two}})
-			apply(replication.Write{Commit: at + 9, Snapshot: snap(at + 9), FirstIndex: at + 10})
-			at += 7
+			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{one, two}})
+			writeAndApply(replication.Write{Commit: lastIndex + 9, Snapshot: newSnapshot(lastIndex + 9), FirstIndex: lastIndex + 10})
+			lastIndex += 7
 		}
-		at += 2
+		lastIndex += 2
 	}
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -34,12 +34,14 @@
 //
 // Open returns a CorruptError if the content of the file cannot be read. The caller must then treat the disk as lost: see Wipe. After any
 // other error, such as a FileError or a ConflictError, Open has changed nothing.
-func Open(dir string) (*Store, replication.PersistentState, error) { return open(dir, osFilesystem{}) }
+func Open(dir string) (*Store, replication.PersistentState, error) {
+	return openOnFilesystem(dir, osFilesystem{})
+}
 
-// open implements Open on a given filesystem.
-func open(dir string, fs filesystem) (*Store, replication.PersistentState, error) {
+// openOnFilesystem implements Open on a given filesystem.
+func openOnFilesystem(dir string, fs filesystem) (*Store, replication.PersistentState, error) {
 	s := &Store{dir: dir, filesystem: fs}
-	found, err := s.findFile()
+	found, err := s.locateAndReadFile()
 	if err != nil {
 		return nil, replication.PersistentState{}, err
 	}
@@ -56,7 +58,7 @@
 		}
 		return s, found.configuration, nil
 	}
-	s.renameErr = s.migrateFileName()
+	s.renameErr = s.replaceFormerName()
 	return s, found.configuration, nil
 }
 
@@ -89,7 +91,7 @@
 	if s.file != nil {
 		return nil
 	}
-	if err := wipe(s.filesystem, s.dir, FileName); err != nil {
+	if err := removeFiles(s.filesystem, s.dir, FileName); err != nil {
 		return err
 	}
 	return s.openForWriting(true)
@@ -108,23 +110,23 @@
 	for i := range writes {
 		heads[writes[i].Log] = newStoredHead(s.memberID, &writes[i].Write)
 	}
-	return fileError("write", s.path, recoverFault(func() error {
-		if err := s.commit(writes, heads); err != nil {
+	return wrapFileError("write", s.path, runRecoveringPanics(func() error {
+		if err := s.commitWrites(writes, heads); err != nil {
 			return err
 		}
-		return s.verify(heads)
+		return s.verifyHeads(heads)
 	}))
 }
 
-// commit runs the transaction of a Write. It stores the snapshots and entries in order and then one head for each log.
-func (s *Store) commit(writes []replication.LogWrite, heads map[replication.LogID]storedHead) error {
+// commitWrites runs the transaction of a Write. It stores the snapshots and entries in order and then one head for each log.
+func (s *Store) commitWrites(writes []replication.LogWrite, heads map[replication.LogID]storedHead) error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		for i := range writes {
 			log, err := createBuckets(tx, writes[i].Log)
 			if err != nil {
 				return err
 			}
-			if err := log.write(&writes[i].Write); err != nil {
+			if err := log.writeSnapshotAndEntries(&writes[i].Write); err != nil {
 				return err
 			}
 		}
@@ -137,14 +139,14 @@
 	})
 }
 
-// verify reads back the heads that commit wrote. bbolt writes to the file and reads it through a memory mapping. The two differ on a disk
+// verifyHeads reads back the heads that commit wrote. bbolt writes to the file and reads it through a memory mapping. The two differ on a disk
 // that lost the write.
-func (s *Store) verify(heads map[replication.LogID]storedHead) error {
+func (s *Store) verifyHeads(heads map[replication.LogID]storedHead) error {
 	return s.file.View(func(tx *bbolt.Tx) error {
 		for id, want := range heads {
 			log := lookupBuckets(tx, id)
 			if got, err := log.readHead(); err != nil || got != want {
-				return logError("read back head", id, log.names.head, ErrReadBack)
+				return newLogError("read back head", id, log.names.head, ErrReadBack)
 			}
 		}
 		return nil
@@ -157,7 +159,7 @@
 	if err := s.ensureCreated(); err != nil {
 		return err
 	}
-	return fileError("save soft state to", s.path, recoverFault(func() error {
+	return wrapFileError("save soft state to", s.path, runRecoveringPanics(func() error {
 		return s.file.Update(func(tx *bbolt.Tx) error {
 			return lookupBuckets(tx, replication.ConfigurationLog).head.Put(softStateKey, value)
 		})
@@ -169,7 +171,7 @@
 	if s.file == nil {
 		return nil
 	}
-	if err := recoverFault(func() error {
+	if err := runRecoveringPanics(func() error {
 		return s.file.View(func(tx *bbolt.Tx) error {
 			value = bytes.Clone(lookupBuckets(tx, replication.ConfigurationLog).head.Get(softStateKey))
 			return nil
@@ -185,5 +187,5 @@
 	if s.file == nil {
 		return nil
 	}
-	return fileError("close", s.path, s.file.Close())
+	return wrapFileError("close", s.path, s.file.Close())
 }
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// entry returns an entry with data and no members.
-func entry(index, term uint64, data string) replication.Entry {
+// newEntry returns an entry with data and no members.
+func newEntry(index, term uint64, data string) replication.Entry {
 	return replication.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
@@ -37,10 +37,10 @@
 	for _, batch := range [][]replication.Write{
 		{{ClusterID: 5, Term: 1, Commit: 1, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}, FirstIndex: 2}},
 		{{ClusterID: 5, Term: 2, Vote: 7, Commit: 1, FirstIndex: 2,
-			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
+			Entries: []replication.Entry{newEntry(2, 2, "a"), newEntry(3, 2, "b"), newEntry(4, 2, "c")}},
 			{ClusterID: 5, Term: 3, Vote: 7, Commit: 2}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // replaces the entries from index 4 on
-			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
+			Entries: []replication.Entry{newEntry(4, 3, "d"), newEntry(5, 3, "e")}}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
 			Snapshot: &replication.Snapshot{Index: 4, Term: 3, Members: members, State: []byte("abd")}}},
 		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot of another member
@@ -67,15 +67,15 @@
 	dir := t.TempDir()
 	store, _, err := Open(dir)
 	must.NoError(t, err)
-	list, index := []replication.Member{{ID: 1}}, uint64(1)
+	members, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
 		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: index,
-			Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: list, State: make([]byte, 100_000)}}}))
+			Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: make([]byte, 100_000)}}}))
 		for range 20 {
 			w := replication.Write{ClusterID: 5, Term: 1, Commit: index, FirstIndex: index + 1}
 			for range 5 {
 				index++
-				w.Entries = append(w.Entries, entry(index, 1, string(make([]byte, 1000))))
+				w.Entries = append(w.Entries, newEntry(index, 1, string(make([]byte, 1000))))
 			}
 			must.NoError(t, writeConfiguration(store, []replication.Write{w}))
 		}
@@ -92,13 +92,13 @@
 func TestCorruptFileIsReportedNotFatal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
-	store, old, err := Open(dir)
+	store, before, err := Open(dir)
 	must.NoError(t, err)
 	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
-		Entries:  []replication.Entry{entry(2, 1, "a")},
+		Entries:  []replication.Entry{newEntry(2, 1, "a")},
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
 	must.NoError(t, store.Close())
-	whole, err := os.ReadFile(path)
+	validContent, err := os.ReadFile(path)
 	must.NoError(t, err)
 	corruptCount := 0
 	checkOpen := func(content []byte) {
@@ -113,17 +113,17 @@
 		must.True(t, errors.As(openErr, &corrupt), must.Sprint(openErr))
 		must.StrContains(t, openErr.Error(), path)
 	}
-	for at := 512; at < len(whole); at += 512 {
-		checkOpen(whole[:at])
-		junk := bytes.Repeat([]byte{0xa5}, 512)
-		checkOpen(bytes.Join([][]byte{whole[:at], junk, whole[min(at+512, len(whole)):]}, nil))
+	for at := 512; at < len(validContent); at += 512 {
+		checkOpen(validContent[:at])
+		garbage := bytes.Repeat([]byte{0xa5}, 512)
+		checkOpen(bytes.Join([][]byte{validContent[:at], garbage, validContent[min(at+512, len(validContent)):]}, nil))
 	}
 	must.Positive(t, corruptCount)
-	checkOpen(whole[:100])
+	checkOpen(validContent[:100])
 	must.NoError(t, Wipe(dir))
 	store, state, err := Open(dir)
 	must.NoError(t, err)
-	must.NotEq(t, old.ID, state.ID)
+	must.NotEq(t, before.ID, state.ID)
 	must.Eq(t, 0, state.Term)
 	must.NoError(t, store.Close())
 }
@@ -145,19 +145,19 @@
 
 // A follower that lags behind receives a snapshot that removes all its entries, over several pages, and a later entry in the same write.
 // This write used to loop forever in a bbolt cursor.
-func TestSnapshotAndLaterEntriesInOneWrite(t *testing.T) {
+func TestSnapshotAndLaterEntriesAreWrittenTogether(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		store, state, err := Open(t.TempDir())
 		must.NoError(t, err)
 		snap := replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID, Addr: "a"}}}
 		first := replication.Write{Seq: 1, ClusterID: 1, Term: 1, Commit: 1, Snapshot: &snap, FirstIndex: 2}
 		for i := uint64(2); i <= 400; i++ {
-			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
+			first.Entries = append(first.Entries, newEntry(i, 1, "some data of a change"))
 		}
 		must.NoError(t, writeConfiguration(store, []replication.Write{first}))
 		snap.Index = 400
 		later := []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap, FirstIndex: 401,
-			Entries: []replication.Entry{entry(401, 1, "more")}}}
+			Entries: []replication.Entry{newEntry(401, 1, "more")}}}
 		if !together {
 			later = []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap},
 				{Seq: 3, ClusterID: 1, Term: 1, Commit: 400, FirstIndex: 401, Entries: later[0].Entries}}
@@ -175,19 +175,19 @@
 // A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any other
 // store once the disk takes writes again, whatever an earlier attempt to create the file left in the directory. After other faults Open still
 // fails and changes nothing.
-func TestDiskFullAtFirstStart(t *testing.T) {
+func TestStoreRecoversFromDiskFullAtFirstStart(t *testing.T) {
 	dir := t.TempDir()
 	fs := &faultyFilesystem{failures: map[string]error{"open": unix.EACCES}}
-	_, _, err := open(dir, fs)
+	_, _, err := openOnFilesystem(dir, fs)
 	must.ErrorIs(t, err, unix.EACCES)
 
 	fs.failures["open"] = unix.ENOSPC
-	store, state, err := open(dir, fs)
+	store, state, err := openOnFilesystem(dir, fs)
 	must.NoError(t, err)
 	must.False(t, store.HasFile())
 	must.Positive(t, state.ID)
 	must.Nil(t, store.SoftState())
-	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
+	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{newEntry(2, 1, "a")},
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}}}}
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 	must.ErrorIs(t, store.SaveSoftState([]byte("one")), unix.ENOSPC)
@@ -205,6 +205,6 @@
 	must.NoError(t, store.Close())
 
 	fs.failures["open"] = unix.ENOSPC // Open never returns a store without a file if there is a file with a state
-	_, _, err = open(dir, fs)
+	_, _, err = openOnFilesystem(dir, fs)
 	must.ErrorIs(t, err, unix.ENOSPC)
 }
