--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -22,7 +22,7 @@
 	LockList    Operation = 9 // Locks.List: returns the held locks of a group, for operators
 )
 
-// operationNames holds the names of the operations in the counters of Groups.List. Operators' tools read them.
+// operationNames holds the names of the operations in the counters of Groups.List. Operators' tools match these names.
 var operationNames = [...]string{
 	0:           "?",
 	LockAcquire: "lock begin",
@@ -44,7 +44,7 @@
 	return operationNames[0]
 }
 
-// Call is one call of an application. Only the fields that its operation uses are sent and stored.
+// Call is one call of an application. Only the fields that the call's operation uses are sent and stored.
 type Call struct {
 	Operation        Operation
 	Name             string        // name of the lock, counter or key, or of the key group with its dot
@@ -71,7 +71,7 @@
 	return groups.GroupOf(c.Name)
 }
 
-// isReadOnly reports whether the call changes no state. Abandoning such a call is never ambiguous.
+// isReadOnly reports whether the call changes no state. A read-only call never ends with StatusAmbiguous.
 func (c *Call) isReadOnly() bool {
 	switch c.Operation {
 	case KeyRead, KeyWatch, LockRead, LockList:
@@ -112,12 +112,12 @@
 // String returns the status's name in the control API.
 func (s Status) String() string { return statusNames[s] }
 
-// Result is the answer to a call. The operation determines which fields are set.
+// Result is the answer to a call. The call's operation determines which fields are set.
 type Result struct {
 	Status       Status
 	FencingToken uint64     // LockAcquire: the token that is granted to the holder
 	Number       uint64     // NumberNext: the next number
-	Revision     uint64     // the key's revision; KeyWatch: the revision from which the next watch resumes
+	Revision     uint64     // KeyPut and KeyRead: the key's revision; KeyWatch: the revision from which the next watch resumes
 	Value        string     // KeyRead: the key's value
 	Events       []Event    // KeyWatch: events in ascending order of revision
 	Locks        []LockInfo // LockRead and LockList: held locks, sorted by name
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -16,9 +16,9 @@
 // testHistoryRetention is short, so that simulations last beyond it.
 const testHistoryRetention = 4 * time.Second
 
-// cluster is a set of nodes over a fault-free model of the replicated groups. Each group has one log, and an entry is either in it or not.
-// The faults concern which node believes that it leads a group, what a leader knows of its proposals, messages between nodes, clocks,
-// suspended processes and restarts.
+// cluster is a set of simulated nodes over a fault-free model of the replicated groups. Each group has one log of committed entries. Faults
+// affect which node believes that it leads a group, whether a leader learns the outcomes of its proposals, the messages between nodes, the
+// clocks, and the processes of nodes, which can be suspended or restarted.
 type cluster struct {
 	rng   *rand.Rand
 	now   time.Duration
@@ -60,13 +60,13 @@
 	return last
 }
 
-// schedule runs an action after a delay, at once if the delay is negative.
+// schedule adds an event that runs an action after a delay. A negative delay counts as 0.
 func (c *cluster) schedule(delay time.Duration, action func()) {
 	c.queue.lastSequence++
 	heap.Push(&c.queue, event{c.now + max(delay, 0), c.queue.lastSequence, action})
 }
 
-// runUntil runs all events up to and including a time.
+// runUntil runs all events up to and including the time until.
 func (c *cluster) runUntil(until time.Duration) {
 	for len(c.queue.events) > 0 && c.queue.events[0].time <= until {
 		e := heap.Pop(&c.queue).(event)
@@ -90,11 +90,11 @@
 	service      *coordination.Service
 	states       [groups.Count]groups.StateMachine
 	applied      [groups.Count]int
-	leaderTerm   [groups.Count]uint64 // the term in which it believes that it leads, or 0
+	leaderTerm   [groups.Count]uint64 // term in which the node believes that it leads the group, or 0
 	leaderSince  [groups.Count]time.Duration
-	knownLeader  [groups.Count]string // addresses
+	knownLeader  [groups.Count]string // address of the leader that the node knows, or empty
 	proposals    [groups.Count][]*proposal
-	committed    map[*byte]*proposal // committed proposals that are not applied here yet, by the first byte of their entry
+	committed    map[*byte]*proposal // committed proposals that this node has not applied yet, by the first byte of their entry
 	suspended    bool
 	inputDelay   time.Duration
 	backlog      []func()                 // turns that wait while the node is suspended
@@ -128,7 +128,7 @@
 	return c
 }
 
-// startIncarnation begins a new incarnation of a node. The node applies the logs from their start.
+// startIncarnation starts a new incarnation of the node. The new incarnation applies the logs from their first entry.
 func (n *node) startIncarnation() {
 	n.incarnation = n.cluster.rng.Uint64() | 1
 	n.startedAt = n.cluster.now - n.cluster.randomDuration(0, time.Hour)
@@ -146,7 +146,7 @@
 	}
 }
 
-// restart ends the node's incarnation with all its pending calls, and begins a new one.
+// restart ends the node's incarnation with all pending calls, and starts a new incarnation.
 func (n *node) restart() {
 	for id := range groups.ID(groups.Count) {
 		if n.cluster.logs[id].leader == n {
@@ -174,7 +174,7 @@
 	n.service.NotifyWatchers()
 }
 
-// scheduleTurn schedules a turn, which is skipped if the node has restarted by then.
+// scheduleTurn schedules a turn of the node after a delay. The turn is skipped if the node has restarted by then.
 func (n *node) scheduleTurn(delay time.Duration, turn func()) {
 	incarnation := n.incarnation
 	n.cluster.schedule(delay, func() {
@@ -184,7 +184,7 @@
 	})
 }
 
-// suspend stops the node's process for a duration.
+// suspend suspends the node's process for a duration. Turns are queued meanwhile and run afterwards.
 func (n *node) suspend(duration time.Duration) {
 	incarnation := n.incarnation
 	n.suspended = true
@@ -202,7 +202,7 @@
 	})
 }
 
-// notifyNodesPeriodically periodically notifies nodes of a group's leader and lets them apply committed entries.
+// notifyNodesPeriodically lets each node apply the committed entries of a random group and learn the group's leader, every 20 ms.
 func (c *cluster) notifyNodesPeriodically() {
 	for _, n := range c.nodes {
 		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
@@ -217,8 +217,8 @@
 	c.schedule(20*ms, c.notifyNodesPeriodically)
 }
 
-// applyCommitted applies the committed entries that the node lacks. A node that lacks more than 5 entries is sometimes given the snapshot of a
-// node that has applied more.
+// applyCommitted applies the committed entries that the node lacks. A node that lacks more than 5 entries sometimes restores the snapshot of a
+// node that has applied more entries.
 func (n *node) applyCommitted(id groups.ID) {
 	entries := n.cluster.logs[id].entries
 	if len(entries)-n.applied[id] > 5 && n.cluster.rng.IntN(2) == 0 {
@@ -242,7 +242,7 @@
 	}
 }
 
-// completeProposal completes the proposal of an entry, if this node proposed it.
+// completeProposal calls the callback of the proposal of an entry, if this node proposed the entry.
 func (n *node) completeProposal(entry []byte, outcome groups.Outcome, result []byte) {
 	if p := n.committed[&entry[0]]; p != nil {
 		delete(n.committed, &entry[0])
@@ -251,7 +251,7 @@
 }
 
 // electLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
-// learns later that it no longer leads.
+// learns up to 900 ms later that its leadership has ended. A suspended node is not elected.
 func (c *cluster) electLeader(id groups.ID, n *node) {
 	l := &c.logs[id]
 	if l.leader == n || n.suspended {
@@ -283,7 +283,7 @@
 	})
 }
 
-// endLeadership ends the node's leadership. Its open proposals end with groups.Ambiguous.
+// endLeadership ends the node's leadership of a group in a term. The node's open proposals end with groups.Ambiguous.
 func (n *node) endLeadership(id groups.ID, term uint64) {
 	if n.leaderTerm[id] != term || term == 0 {
 		return
@@ -300,7 +300,7 @@
 	n.service.LeadershipLost(id, term)
 }
 
-// Propose and the methods up to Now implement groups.Host.
+// Propose and the following methods up to Now implement groups.Host.
 func (n *node) Propose(id groups.ID, entry []byte, done func(groups.Outcome, []byte)) {
 	if n.leaderTerm[id] == 0 {
 		done(groups.NotProposed, nil)
--- a/internal/gateway/coordination/codec.go
+++ b/internal/gateway/coordination/codec.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors that decoding an entry, a snapshot or a message returns.
+// Causes of the errors that are returned when an entry, a snapshot or a message is decoded.
 var (
 	// ErrTruncated is returned when encoded data ends before all its values are read.
 	ErrTruncated = errors.New("coordination: encoded data is truncated")
@@ -15,8 +15,8 @@
 	ErrUnknownVersion = errors.New("coordination: encoded data has an unknown version")
 )
 
-// encoder appends values to a byte slice. Integers are varints, and strings follow their length. Equal values always give equal bytes,
-// which State.Snapshot requires.
+// encoder appends values to a byte slice. Integers are encoded as varints. A string is encoded as its length and its bytes. Equal values
+// always have equal encodings, because equal states must have equal snapshots.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) writeUint(v uint64) { e.bytes = binary.AppendUvarint(e.bytes, v) }
@@ -37,7 +37,7 @@
 	e.writeUint(0)
 }
 
-// decoder reads the values that an encoder wrote. It keeps the first error, and returns zero values after it.
+// decoder reads the values that an encoder wrote. The field err holds the first error. After an error all methods return zero values.
 type decoder struct {
 	bytes []byte
 	err   error
@@ -67,9 +67,8 @@
 
 func (d *decoder) readBool() bool { return d.readUint() != 0 }
 
-// readCount decodes an encoded count: the number of the records, or of the bytes of a string, that the encoder wrote after it. Each record takes
-// at least one byte, so a count above the number of remaining bytes is an error. Damaged data therefore can't make the decoder allocate more
-// than the size of the data.
+// readCount reads the number of records in a list, or the number of bytes in a string. Each record takes at least one byte, so a count above
+// the number of remaining bytes sets ErrTruncated. Damaged data therefore can't make the decoder allocate more than the size of the data.
 func (d *decoder) readCount() int {
 	n := d.readUint()
 	if d.err == nil && n > uint64(len(d.bytes)) {
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -17,7 +17,7 @@
 	faultsEnded bool
 }
 
-// newSimulation creates a simulation whose faults and calls follow from a seed. The knobs disable safeguards at all nodes.
+// newSimulation returns a simulation whose faults and calls are determined by a seed. The knobs disable safeguards at all nodes.
 func newSimulation(seed uint64, knobs coordination.TestingKnobs) *simulation {
 	s := &simulation{cluster: newCluster(seed, 5, knobs)}
 	s.callers = callers.Start(s, s.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistoryRetention, LongTTLs: true})
@@ -29,7 +29,7 @@
 func (s *simulation) Now() time.Duration                  { return s.now }
 func (s *simulation) After(wait time.Duration, do func()) { s.schedule(wait, do) }
 
-// runAndAudit runs the simulation for a duration, then the final audit without faults, and returns the violations.
+// runAndAudit runs the simulation with faults for a duration, audits the final state without faults, and returns the violations.
 func (s *simulation) runAndAudit(duration time.Duration) (violations []callhistory.Violation) {
 	s.runUntil(duration)
 	s.faultsEnded = true
@@ -88,8 +88,8 @@
 	s.schedule(s.randomDuration(50*ms, 1500*ms), s.injectFault)
 }
 
-// Call sends a call to a random node and records how it ends. It calls done once, with a record that has ended or with one whose call the
-// caller has abandoned.
+// Call sends a call to a random node and records the call's result. It calls done once, when the call has ended or when the caller abandons the
+// call.
 func (s *simulation) Call(caller string, c coordination.Call, done func(*callhistory.Record)) {
 	r := &callhistory.Record{Caller: caller, Call: c, Sent: s.now, Ended: callhistory.Never}
 	s.history = append(s.history, r)
--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -9,11 +9,11 @@
 // formatVersion is the first value of each log entry and each snapshot. Decoding data with another version returns ErrUnknownVersion.
 const formatVersion = 1
 
-// entry is a call that is stored in a group's log.
+// entry is a call as it is stored in a group's log.
 type entry struct {
 	call    Call
-	logTime time.Duration // when the leader received the call
-	callID  CallID        // stored only for LockAcquire, whose duplicates must be recognized
+	logTime time.Duration // log time (see the package comment) at which the leader proposed the entry
+	callID  CallID        // stored only for LockAcquire, because duplicates of an acquire must be recognized
 }
 
 func (e *entry) encode() []byte {
@@ -45,7 +45,7 @@
 	return e, nil
 }
 
-// encodeResult encodes the result of an entry for the node that proposed it. The result of an entry never has events, a value or locks.
+// encodeResult encodes the result of applying an entry, for the node that proposed the entry. Such a result has no value, events or locks.
 func encodeResult(r Result) []byte {
 	var enc encoder
 	enc.writeUint(uint64(r.Status))
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -14,8 +14,8 @@
 	"clovergap/internal/invariant"
 )
 
-// The explorer tries all orders of a few calls on one lock by two callers. A call may be abandoned by its caller, be forwarded twice and
-// arrive late. Time advances in steps, and another node may become leader.
+// The explorer tries all orders of up to five calls on one lock by two callers. A caller may abandon its call. A call may be forwarded twice
+// and may arrive late. Time advances in steps, and another node may become leader.
 
 const (
 	exploreLock         = "l0"
@@ -54,12 +54,13 @@
 	operation    coordination.Operation
 	fencingToken uint64
 	sent         time.Duration
-	inFlight     int  // number of copies that have not been delivered
+	inFlight     int  // number of copies that are sent but not yet delivered
 	acknowledged bool // the caller received a successful answer
 	released     bool // the call is an acknowledged acquire whose lock was released later
 }
 
-// explorer runs a leader from each state that the exploration reaches. It implements groups.Host and coordination.Env.
+// explorer starts a service as leader in each state that the exploration reaches. It implements groups.Host and coordination.Env for the
+// service.
 type explorer struct {
 	t           *testing.T
 	knobs       coordination.TestingKnobs
@@ -68,7 +69,7 @@
 	response    *coordination.ForwardResponse
 	state       groups.StateMachine
 	depth       int
-	seen        map[exploreState]int // the smallest depth at which a state was visited
+	seen        map[exploreState]int // the smallest depth at which each state was visited
 	violation   string
 	trace       []string
 }
@@ -120,7 +121,7 @@
 	snapshotBefore := state.snapshot
 	state.snapshot = string(e.state.Snapshot())
 	if state.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(snapshotBefore), []byte(state.snapshot)) {
-		e.recordViolation("a copy that arrived %v after its call was sent changed the state", state.now-c.sent)
+		e.recordViolation("a copy of a call that arrived %v after the call was sent changed the state", state.now-c.sent)
 	}
 	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
 	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).FormatLocks() {
@@ -161,11 +162,11 @@
 
 func (e *explorer) recordViolation(format string, args ...any) {
 	if e.violation == "" {
-		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.trace)
+		e.violation = fmt.Sprintf(format, args...) + " after the steps " + fmt.Sprint(e.trace)
 	}
 }
 
-// exploreFrom explores all steps from a state.
+// exploreFrom checks a state that is depth steps from the initial state and explores all steps from the state.
 func (e *explorer) exploreFrom(state exploreState, depth int) {
 	if seenDepth, ok := e.seen[state]; e.violation != "" || ok && seenDepth <= depth {
 		return
@@ -222,7 +223,7 @@
 	}
 }
 
-// newLeaderLogTime returns the log time at which a new leader starts after it restored a snapshot.
+// newLeaderLogTime returns the log time at which a new leader starts after the leader has restored a snapshot.
 func (e *explorer) newLeaderLogTime(snapshot string) time.Duration {
 	newLeader := &explorer{t: e.t, knobs: e.knobs, incarnation: 1}
 	s := newLeader.newService()
@@ -253,7 +254,8 @@
 	return e
 }
 
-// In no order of calls do two callers hold the lock, does a late copy have an effect, or does a copy take a lock that was released.
+// In all orders of calls, at most one caller holds the lock, a copy of a call has no effect after the call's deadline, and a late copy of an
+// acquire does not take the lock after its release.
 func TestLockIsExclusiveInAllCallOrders(t *testing.T) {
 	start, depth := time.Now(), exploreDepth
 	if invariant.Debug { // each state takes ten times as long under the race detector
@@ -261,15 +263,15 @@
 	}
 	e := exploreAllOrders(t, depth, coordination.TestingKnobs{})
 	must.Eq(t, "", e.violation)
-	t.Logf("%d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
+	t.Logf("explored %d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
 }
 
-// The explorer detects the absence of each safeguard in explorerFaults, which the simulations detect only by chance.
+// The explorer detects each fault in explorerFaults. The simulations detect these faults only by chance.
 func TestExplorerDetectsFaults(t *testing.T) {
 	for name, knobs := range explorerFaults {
 		start := time.Now()
 		e := exploreAllOrders(t, exploreDepth, knobs)
-		t.Logf("%s: %d states in %v: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
+		t.Logf("fault %q: explored %d states in %v, violation: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
 		test.NotEq(t, "", e.violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/export_test.go
+++ b/internal/gateway/coordination/export_test.go
@@ -7,11 +7,11 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// LogTime returns the log time that a leader would stamp on an entry now.
+// LogTime returns the log time that the service, as leader of a group, would stamp on an entry now.
 func (s *Service) LogTime(id groups.ID) time.Duration { return s.currentLogTime(id) }
 
-// BecomeLeaderAt makes the service the leader of a group and sets the log time from which it continues. The explorer uses it to start from
-// any state.
+// BecomeLeaderAt makes the service the leader of a group and sets the current log time of the group. The explorer calls BecomeLeaderAt to
+// start from any state.
 func (s *Service) BecomeLeaderAt(id groups.ID, logTime time.Duration) {
 	g := &s.hosted[id]
 	g.isLeader = true
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -15,8 +15,8 @@
 
 const simulationDuration = 25 * time.Second
 
-// Simulations with all faults at once violate no guarantee, and at their end every call is answered. COORDINATION_DAYS sets the number of
-// simulations.
+// Simulations in which all kinds of faults occur violate no guarantee and leave no call unanswered. The environment variable
+// COORDINATION_DAYS sets the number of simulations.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	runs := uint64(60)
 	if invariant.Debug {
@@ -43,11 +43,10 @@
 			return
 		}
 	}
-	t.Logf("%d simulations, %d calls", runs, calls)
+	t.Logf("ran %d simulations with %d calls", runs, calls)
 }
 
-// The simulations detect the absence of each safeguard in simulationFaults. TestExplorerDetectsFaults covers the safeguards that matter
-// only in rare orders of calls.
+// The simulations detect each fault in simulationFaults. TestExplorerDetectsFaults covers the faults that show only in rare orders of calls.
 func TestSimulationDetectsFaults(t *testing.T) {
 	for name, knobs := range simulationFaults() {
 		start, violation := time.Now(), ""
@@ -57,7 +56,7 @@
 				violation = violations[0].String()
 			}
 		}
-		t.Logf("%s: %d simulations in %v: %s", name, seed, time.Since(start).Round(time.Millisecond), violation)
+		t.Logf("fault %q: ran %d simulations in %v, violation: %s", name, seed, time.Since(start).Round(time.Millisecond), violation)
 		test.NotEq(t, "", violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -12,13 +12,13 @@
 	sequence      uint32
 	call          Call
 	group         groups.ID
-	deadline      time.Duration // when the call ends even without an answer
-	retryAt       time.Duration // when the next attempt starts
+	deadline      time.Duration // time at which the call ends even without an answer
+	retryAt       time.Duration // time at which the next attempt starts
 	attempts      uint8         // number of attempts started so far
-	openAttempts  uint32        // one bit for each attempt that may have taken effect, or may still take effect
+	openAttempts  uint32        // bit i is set while attempt i may have taken effect, or may still take effect
 	target        string        // address of the newest attempt's target
 	avoidedTarget string        // address of a node that did not answer or does not lead the group
-	nextCandidate int           // index into groups.Host.LeaderCandidates
+	nextCandidate int           // index into groups.Host.LeaderCandidates, modulo their number
 	done          func(Result)
 }
 
@@ -37,10 +37,10 @@
 // remoteClock is what this node knows about another node's monotonic clock.
 type remoteClock struct {
 	incarnation uint64
-	offset      time.Duration // lower bound of how far it is ahead of this node's clock
+	offset      time.Duration // lower bound of the other clock's time minus the time of this node's clock
 }
 
-// startCall forwards a call to the leader of its group. It calls done exactly once, within the timeout.
+// startCall forwards a call to the leader of the call's group. It calls done exactly once, within the timeout.
 func (s *Service) startCall(c *Call, timeout time.Duration, done func(Result)) {
 	group := c.GroupID()
 	if len(s.pending) >= maxPendingCalls || !s.isLeader(group) && !s.env.HasQuorumContact() {
@@ -53,7 +53,8 @@
 	s.sendAttempt(p)
 }
 
-// sendAttempt sends a call to the node that most likely leads its group. That may be this node.
+// sendAttempt starts the next attempt of a call at the node that most likely leads the call's group. If this node leads the group, the call
+// is served here.
 func (s *Service) sendAttempt(p *pendingCall) {
 	now := s.host.Now()
 	p.retryAt = now + retryInterval
@@ -92,8 +93,9 @@
 	return r
 }
 
-// chooseTarget returns the address of the node for the next attempt. It is this node if it leads the group, else the known leader unless
-// that is the avoided target, else the next leader candidate. It is empty if there is none.
+// chooseTarget returns the address of the node for the next attempt of a call. If this node leads the group, chooseTarget returns its own
+// address. Otherwise it returns the known leader, unless the known leader is the avoided target. Otherwise it returns the next leader
+// candidate, or an empty string if there is no candidate.
 func (s *Service) chooseTarget(p *pendingCall) string {
 	if s.isLeader(p.group) {
 		return s.config.Address
@@ -160,7 +162,7 @@
 }
 
 // updateRemoteClock stores the largest offset of a node's clock that was observed. A response takes time to arrive, so each observed offset
-// is at most the true one. A deadline that is computed from it is therefore never too late, only too early.
+// is at most the true offset. A deadline that is computed from an observed offset is therefore never too late. It may be too early.
 func (s *Service) updateRemoteClock(from string, r *ForwardResponse) {
 	offset := r.ResponderClock - s.host.Now()
 	known, ok := s.remoteClocks[from]
@@ -169,8 +171,8 @@
 	}
 }
 
-// handleAttemptOutcome handles the end of an attempt. A result ends the call. Any other outcome of the newest attempt leads to the next
-// attempt.
+// handleAttemptOutcome handles the end of an attempt. AttemptDone ends the call. Any other outcome of the newest attempt starts the next
+// attempt, at once or after retryInterval. Any other outcome of an earlier attempt starts none.
 func (s *Service) handleAttemptOutcome(sequence uint32, attempt uint8, outcome AttemptOutcome, result Result, leaderHint string) {
 	p := s.pending[sequence]
 	if p == nil {
@@ -189,7 +191,7 @@
 	}
 	knowsOtherLeader := outcome == AttemptRejected && leaderHint != "" && leaderHint != p.target
 	if outcome == AttemptDeadlineInvalid || knowsOtherLeader {
-		s.sendAttempt(p) // the response contained the clock or the leader that the attempt lacked
+		s.sendAttempt(p) // the response contained the receiver's clock or the leader's address, which this node did not know
 		return
 	}
 	if outcome == AttemptRejected {
@@ -204,8 +206,8 @@
 	s.env.ScheduleAt(p.retryAt, p.sequence)
 }
 
-// handleCallTimer ends a call at its deadline, or when this node has no quorum contact. It starts the next attempt of a call whose target
-// does not answer or no longer leads the group.
+// handleCallTimer ends a call at the call's deadline, or when this node has no quorum contact. It starts the next attempt of a call whose
+// target has not answered in time or no longer leads the group.
 func (s *Service) handleCallTimer(p *pendingCall) {
 	now := s.host.Now()
 	switch {
@@ -233,7 +235,8 @@
 	return ok && leader != p.target && leader != p.avoidedTarget
 }
 
-// abandonCall ends a call that has no answer. It is certain that the call had no effect only if none of its attempts is open.
+// abandonCall ends a call that has no answer. The status is StatusAmbiguous if the call changes state and one of its attempts may have taken
+// effect or may still take effect. Otherwise the status is StatusUnavailable.
 func (s *Service) abandonCall(p *pendingCall) {
 	status := StatusUnavailable
 	if p.openAttempts != 0 && !p.call.isReadOnly() && !s.config.TestingKnobs.ReportAmbiguousAsUnavailable {
@@ -247,8 +250,8 @@
 	p.done(result)
 }
 
-// PeerDisconnected handles the end of the link to a node. Attempts that were sent to the node stay open, and their calls are retried at
-// another node after retryInterval.
+// PeerDisconnected handles the end of the link to a node. Attempts that were sent to the node may still take effect. Their calls are retried
+// at another node after retryInterval.
 func (s *Service) PeerDisconnected(address string) {
 	for _, sequence := range sortedKeys(s.pending) {
 		if p := s.pending[sequence]; p != nil && p.target == address {
@@ -258,8 +261,8 @@
 	}
 }
 
-// LeaderChanged handles a change of a group's leader in groups.Host.Leader. Calls whose target is not the new leader are sent to it at
-// once.
+// LeaderChanged handles a change of a group's leader in groups.Host.Leader. A call whose target is not the new leader is sent to the new
+// leader at once.
 func (s *Service) LeaderChanged(group groups.ID) {
 	for _, sequence := range sortedKeys(s.pending) {
 		if p := s.pending[sequence]; p != nil && p.group == group && s.isTargetStale(p) {
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -13,11 +13,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// The files testdata/dd5a45a.* hold bytes that the code of commit dd5a45a encoded. Each line is a name and the bytes in hexadecimal. Logs,
-// snapshots and nodes of that version use these encodings, so this version must decode them to the same values and encode the values to the
-// same bytes.
+// The files testdata/dd5a45a.* hold bytes that the code of commit dd5a45a encoded. Each line is a name, a tab and the bytes in hexadecimal.
+// Logs, snapshots and nodes of the version of that commit use these encodings. This version must therefore decode the bytes to the same values
+// and encode the values to the same bytes.
 
-// readRecordedBytes reads a file of recorded bytes by name.
+// readRecordedBytes returns the recorded bytes of one file in testdata by the names in that file.
 func readRecordedBytes(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	f, err := os.Open("testdata/dd5a45a." + name)
@@ -36,7 +36,7 @@
 	return records
 }
 
-// goldenCalls returns calls of each operation with all fields that are sent.
+// goldenCalls returns at least one call of each operation, with all fields that are sent. The keys are names in the recorded files.
 func goldenCalls() map[string]Call {
 	return map[string]Call{
 		"lock begin":     {Operation: LockAcquire, Name: "l1", Holder: "worker-1", TTL: 2500 * time.Millisecond},
@@ -52,7 +52,8 @@
 	}
 }
 
-// goldenMessages returns a request for each operation, and a response with each outcome and with each status.
+// goldenMessages returns a request for each operation, and a response with each outcome and with each status. The keys are names in the
+// recorded files.
 func goldenMessages() map[string]Message {
 	messages := map[string]Message{}
 	for name, c := range goldenCalls() {
@@ -92,13 +93,13 @@
 	return messages
 }
 
-// goldenStatuses returns the statuses in order of the numbers that are sent and stored.
+// goldenStatuses returns all statuses in ascending order of the numbers that are sent and stored.
 func goldenStatuses() []Status {
 	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached,
 		StatusUnavailable, StatusAmbiguous}
 }
 
-// Messages are decoded and encoded as recorded, so that nodes of the recorded version and of this one understand each other.
+// Messages are decoded and encoded as recorded, so that nodes of the recorded version and nodes of this version can exchange messages.
 func TestMessagesMatchRecordedBytes(t *testing.T) {
 	recordedMessages, want := readRecordedBytes(t, "messages"), goldenMessages()
 	must.MapLen(t, len(want), recordedMessages)
@@ -110,7 +111,7 @@
 	}
 }
 
-// goldenLog returns log entries in order that change the state in each possible way.
+// goldenLog returns the entries of a log in order. Together the entries cause every kind of change to the state.
 func goldenLog() []entry {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
 	incarnation := uint64(1<<63 + 5)
@@ -142,7 +143,7 @@
 	}
 }
 
-// Entries and their results are decoded and encoded as recorded, and applying the log of these entries leads to the recorded state.
+// Entries and their results are decoded and encoded as recorded, and applying the entries in order produces the recorded state.
 func TestLogMatchesRecordedBytes(t *testing.T) {
 	recordedEntries, recordedResults, want := readRecordedBytes(t, "entries"), readRecordedBytes(t, "results"), goldenLog()
 	must.MapLen(t, len(want), recordedEntries)
@@ -221,7 +222,7 @@
 	must.Eq(t, recordedBytes, got.Snapshot())
 }
 
-// Decoding errors distinguish data of an unknown version from truncated data.
+// Decoding returns ErrUnknownVersion for data of an unknown version and ErrTruncated for truncated data.
 func TestDecodeDistinguishesUnknownVersionFromTruncation(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
 	must.ErrorIs(t, err, ErrUnknownVersion)
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -12,16 +12,16 @@
 // keyTable holds the keys of a replicated group by key group.
 type keyTable struct {
 	groups       map[string]*keyGroup
-	bytes        int // size of all keys: names and values, plus eventOverhead for each key
-	historyBytes int // size of all events
-	putRevisions map[putDigest]uint64
-	putOrder     []putDigest // the keys of putRevisions, oldest put first
+	bytes        int                  // size of all keys: names and values, plus eventOverhead for each key
+	historyBytes int                  // size of all events
+	putRevisions map[putDigest]uint64 // revision of each remembered put
+	putOrder     []putDigest          // the keys of putRevisions, oldest put first
 }
 
 // keyGroup holds the keys that share one revision counter.
 type keyGroup struct {
 	revision          uint64 // revision of the newest put
-	compactedRevision uint64 // revision of the newest event that was removed from the history
+	compactedRevision uint64 // revision of the newest event that was removed from the history; 0 if none was removed
 	keys              map[string]keyValue
 	events            []storedEvent // the history in ascending order of revision
 }
@@ -41,7 +41,7 @@
 
 func (s *storedEvent) sizeInBytes() int { return eventOverhead + len(s.Name) + len(s.Value) }
 
-// putDigest identifies a put by its key and value. It is the first 128 bits of their SHA-256 hash.
+// putDigest identifies a put by its key and value. The digest is the first 128 bits of the SHA-256 hash of both.
 type putDigest [16]byte
 
 func newPutDigest(key, value string) (d putDigest) {
@@ -54,7 +54,8 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// putKey stores the value of a key, unless the put repeats an earlier one, conflicts or exceeds maxKeyBytes.
+// putKey stores the value of a key. It stores nothing if the put repeats an earlier put, if the key does not have the expected revision, or
+// if the keys would exceed maxKeyBytes.
 func (s *State) putKey(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
@@ -83,9 +84,9 @@
 	return Result{Revision: g.revision}
 }
 
-// checkRepeatOrConflict returns the result of a put that repeats an earlier one or that conflicts, and whether it found one of the two. A
-// repeated put gets the revision of the first put. The check for a repetition precedes the comparison with the expected revision, because
-// the first put has already changed the key's revision.
+// checkRepeatOrConflict reports in found whether a put repeats an earlier put or conflicts with the key's revision, and then returns the
+// put's result. The result of a repeated put has the revision of the first put. The check for a repetition precedes the comparison with the
+// expected revision, because the first put has already changed the key's revision.
 func (s *State) checkRepeatOrConflict(c *Call, g *keyGroup, digest putDigest) (result Result, found bool) {
 	current, exists := g.keys[c.Name]
 	conflict := Result{Status: StatusConflict, Revision: current.revision}
@@ -108,8 +109,8 @@
 	return conflict, conflicts
 }
 
-// rememberPut stores a put's revision, so that a repetition of the put can be recognized. If there are maxRememberedPuts already, it
-// removes the oldest one.
+// rememberPut stores a put's revision under the put's digest, so that a repetition of the put can be recognized. If maxRememberedPuts are
+// stored already, rememberPut removes the oldest one.
 func (k *keyTable) rememberPut(d putDigest, revision uint64) {
 	if len(k.putOrder) >= maxRememberedPuts {
 		delete(k.putRevisions, k.putOrder[0])
@@ -130,7 +131,8 @@
 // compactHistory removes events that no watch may request any more. It also removes the oldest events while the history exceeds
 // maxHistoryBytes. It always keeps the newest event.
 func (s *State) compactHistory(g *keyGroup) {
-	// A watch's result may begin with events that are historyRetention old, and the watch may resume from any of them for that long.
+	// The result of a watch may contain an event that is historyRetention old. The caller may resume from that event for another
+	// historyRetention. One second is added as a margin.
 	retention := 2*s.historyRetention + time.Second
 	if s.knobs.ShortHistory {
 		retention = s.historyRetention / 8
@@ -164,7 +166,8 @@
 	return 0
 }
 
-// eventsAfter returns the events of a key group above a revision, as many as fit in a result, and the revision from which to resume.
+// eventsAfter returns the events of a key group above a revision, as many as fit in a result, and the revision from which the next watch
+// resumes. The status is StatusCompacted if the history no longer holds all events above the revision.
 func (s *State) eventsAfter(keyGroup string, revision uint64) Result {
 	g := s.keys.groups[keyGroup]
 	if g == nil {
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -10,16 +10,16 @@
 type hostedGroup struct {
 	state    *State
 	isLeader bool
-	// The anchor of the log time. At anchoredAt, by this node's monotonic clock, the log time was at least anchorLogTime. A leader's log
-	// time advances from there.
+	// The anchor of the log time. At the time anchoredAt of this node's monotonic clock, the log time was at least anchorLogTime. A leader
+	// adds the time since anchoredAt to anchorLogTime.
 	anchorLogTime time.Duration
 	anchoredAt    time.Duration
 }
 
 // updateClockAnchor sets the anchor to the log time of the newest entry, at the current monotonic time. A follower that becomes leader thus
-// knows how far log time has advanced since that entry. A follower never keeps an anchor that is ahead of the log, because another leader
-// may have stamped entries by a clock that was behind, and leases based on those stamps must not end early. On a leader the function does
-// nothing, because the leader's log time advances by its own clock.
+// knows how far log time has advanced since that entry. A follower never keeps an anchor that is ahead of the log. Another leader may have
+// stamped entries with an earlier log time, and leases that start at those stamps must not end early. On a leader the function does nothing,
+// because the leader's log time advances by the leader's own clock.
 func (h *hostedGroup) updateClockAnchor(now time.Duration) {
 	if h.isLeader {
 		return
@@ -48,7 +48,7 @@
 	return state
 }
 
-// LeadershipGained handles this node's becoming the leader of a group. It is part of groups.Application.
+// LeadershipGained records that this node has become the leader of a group. It is part of groups.Application.
 func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = true
@@ -58,8 +58,8 @@
 	s.counters.LeadershipsGained++
 }
 
-// LeadershipLost handles the end of this node's leadership of a group. It rejects the watches that are parked here, so that their nodes
-// send them to the new leader. It is part of groups.Application.
+// LeadershipLost handles the end of this node's leadership of a group. It rejects the watches that are parked here. The nodes that forwarded
+// these watches then send them to the new leader. LeadershipLost is part of groups.Application.
 func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = false
@@ -77,7 +77,7 @@
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
 }
 
-// isLeader reports whether this node leads a group, as far as it knows. Another node may already be the leader.
+// isLeader reports whether this node believes that it leads a group. Another node may already be the leader.
 func (s *Service) isLeader(id groups.ID) bool {
 	if s.hosted[id].state == nil || !s.hosted[id].isLeader {
 		return false
@@ -99,9 +99,9 @@
 	knobs := &s.config.TestingKnobs
 	switch c.Operation {
 	case LockAcquire:
-		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A leader
-		// that lost its leadership without knowing may answer StatusLockHeld wrongly. That is harmless, because the caller is granted
-		// nothing.
+		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A node that
+		// does not know yet that it lost its leadership may wrongly answer StatusLockHeld. A wrong StatusLockHeld is harmless, because it
+		// grants nothing to the caller.
 		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.currentLogTime(group)) {
 			reply(AttemptDone, Result{Status: StatusLockHeld})
 			return
@@ -149,8 +149,8 @@
 	return AttemptAmbiguous
 }
 
-// readLinearizable replies with the result of read, once a majority has confirmed the leadership and all entries that were committed before
-// are applied. withoutQuorum is a testing knob that skips the confirmation.
+// readLinearizable replies with the result of read. It calls read after a majority has confirmed the leadership and after all entries that
+// were committed before the confirmation began are applied. withoutQuorum is a testing knob that skips the confirmation.
 func (s *Service) readLinearizable(group groups.ID, withoutQuorum bool, reply replyFunc, read func() Result) {
 	if withoutQuorum {
 		reply(AttemptDone, read())
@@ -165,7 +165,7 @@
 	})
 }
 
-// executeRead returns the result of a call that changes no state.
+// executeRead returns the result of a KeyRead, LockRead or LockList call from the node's current state.
 func (s *Service) executeRead(group groups.ID, c *Call) Result {
 	state := s.hosted[group].state
 	if c.Operation == KeyRead {
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -31,25 +31,26 @@
 // Limits of one node's service.
 const (
 	maxPendingCalls  = 4096  // calls that this node received and that have not ended
-	maxParkedWatches = 8192  // watches from all nodes that wait here, at the leader of their group
+	maxParkedWatches = 8192  // watches from all nodes that wait at this node, as the leader of their group
 	maxWatchers      = 16384 // callers of this node that wait in shared watches
 )
 
-// Times of a call. Callers switch to another node after 1 s without an answer, so a call must end well before that.
+// Times of a call. Callers switch to another node after 1 s without an answer, so a call must end well before 1 s.
 const (
-	// callTimeout is the time within which each call ends, whatever its status.
+	// callTimeout is the time within which each call ends with some status. A watch may take its own timeout in addition.
 	callTimeout = 800 * time.Millisecond
 	// attemptTimeout is how long a node may take to answer one attempt before the next attempt goes to another node.
 	attemptTimeout = 250 * time.Millisecond
-	// retryInterval is the delay between attempts while no leader is known.
+	// retryInterval is the delay before the next attempt if there is no known leader, the link is down, or the newest attempt was rejected
+	// or ended ambiguously.
 	retryInterval = 40 * time.Millisecond
-	// maxAttempts limits the attempts of one call. pendingCall.openAttempts has one bit for each attempt.
+	// maxAttempts limits the attempts of one call. It may not exceed 32, because pendingCall.openAttempts has one bit for each attempt.
 	maxAttempts = 30
 	// maxInputDelay is the longest time that a call may have waited unread in a socket. After a longer delay the caller may have abandoned
 	// the call and continued.
 	maxInputDelay = 200 * time.Millisecond
-	// watchPollTimeout is how long a shared watch waits at the leader before the node sends it again. A leadership that was lost unnoticed
-	// is detected after this time.
+	// watchPollTimeout is how long the call of a shared watch waits at the leader before the node sends the call again. The leader confirms
+	// its leadership at the end of each wait, so a leader that lost its leadership without knowing is detected after this time.
 	watchPollTimeout = 600 * time.Millisecond
 )
 
@@ -59,9 +60,9 @@
 	leaseRoundingMargin = time.Millisecond
 	// retiredCallRetention is longer than any duplicate of a call can be in transit, which is at most maxInputDelay plus callTimeout.
 	retiredCallRetention = 4 * time.Second
-	// staleReleaseWindow is also longer than a call can be in transit. A release that arrives within this time after the holder acquired the
-	// lock again may have been sent before that acquire. The two cases can't be distinguished, because the holder keeps its fencing token.
-	// Such a release has no effect, and the lock becomes free when its lease expires. Releasing the lock while its holder still relies on it
-	// would be worse.
+	// staleReleaseWindow is longer than a call can be in transit. A release that arrives within this time after the holder acquired the lock
+	// again may have been sent before that acquire. Releases sent before and after the acquire look the same, because the holder keeps its
+	// fencing token. A release within the window therefore has no effect, and the lock becomes free when its lease expires. It would be
+	// worse to free a lock on which the holder still relies.
 	staleReleaseWindow = 1200 * time.Millisecond
 )
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// lockState is a lock that is held, or whose lease has expired. A released lock has no lockState, so that free locks take no memory.
+// lockState is a lock that is held or whose lease has expired. A released lock has no lockState, so that released locks take no memory.
 type lockState struct {
 	holder        string
 	fencingToken  uint64
@@ -16,8 +16,8 @@
 	reacquired    bool          // the holder acquired the lock again while it held it
 }
 
-// retiredCall identifies an acquire whose lock is free again. A copy of the acquire that arrives late must not take the lock once more,
-// because no caller would know that it holds the lock.
+// retiredCall identifies an earlier acquire of a lock that has since been released, has expired or was acquired again. A copy of the earlier
+// acquire that arrives late must not take the lock once more, because no caller would know that it holds the lock.
 type retiredCall struct {
 	callID    CallID
 	retiredAt time.Duration // log time
@@ -60,8 +60,8 @@
 	if l.holder != e.call.Holder {
 		return Result{Status: StatusLockHeld}
 	}
-	// A copy of the call that took the lock does not extend the lease, because the caller counts its lease from when it sent the first
-	// copy.
+	// A copy of the holder's last acquire does not extend the lease, because the holder measures the lease from the time at which the holder
+	// sent the first copy.
 	if l.callID != e.callID {
 		s.recordRetiredCall(l.callID)
 		l.callID = e.callID
@@ -85,7 +85,7 @@
 	if s.isLockFree(l) || !s.isLeaseHolder(l, c) {
 		return Result{Status: StatusLockLost}
 	}
-	// A renewal never shortens the lease on which the holder relies, because copies of renewals may arrive in another order.
+	// A renewal never shortens the lease, because a delayed copy of an earlier renewal may arrive after a later renewal.
 	l.expiresAt = max(l.expiresAt, s.leaseExpiry(c))
 	if s.knobs.RenewShortensLease {
 		l.expiresAt = s.logTime + c.TTL
@@ -93,7 +93,7 @@
 	return Result{}
 }
 
-// releaseLock frees a lock. It succeeds whether or not the caller holds the lock, so that callers can repeat it.
+// releaseLock frees a lock. It returns StatusOK whether or not the caller holds the lock, so that callers can repeat a release.
 func (s *State) releaseLock(c *Call) Result {
 	l := s.locks[c.Name]
 	if l == nil || !s.isLeaseHolder(l, c) || s.mayBeStaleRelease(l) {
@@ -114,7 +114,7 @@
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
 
-// recordRetiredCall records an acquire whose lock has become free, and removes records that are older than retiredCallRetention.
+// recordRetiredCall records an acquire of which late copies must be rejected. It removes records that are older than retiredCallRetention.
 func (s *State) recordRetiredCall(id CallID) {
 	outdated := 0
 	for outdated < len(s.retiredCalls) && s.logTime-s.retiredCalls[outdated].retiredAt > retiredCallRetention {
@@ -134,7 +134,8 @@
 	return len(s.locks) < before
 }
 
-// isLockedByOther reports whether another holder holds a lock at a log time. The log time may be later than that of the newest entry.
+// isLockedByOther reports whether a holder other than the given one holds a lock at a log time. The log time may be later than the log time
+// of the newest entry.
 func (s *State) isLockedByOther(name, holder string, at time.Duration) bool {
 	l := s.locks[name]
 	return l != nil && l.holder != holder && max(at, s.logTime) < l.expiresAt
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -8,27 +8,27 @@
 	Response *ForwardResponse
 }
 
-// ForwardRequest carries one attempt of a call to the leader of the call's group. It is valid until Deadline, by the monotonic clock of the
-// receiver's incarnation. A request that was delayed on a link, or that the receiver read late because its process was suspended, therefore
-// has no effect.
+// ForwardRequest carries one attempt of a call to the leader of the call's group. The request is valid until Deadline, a time of the
+// monotonic clock of the receiver's incarnation. A request has no effect if it was delayed on a link until after Deadline, or if the receiver
+// read it after Deadline because the receiver's process was suspended.
 type ForwardRequest struct {
 	OriginIncarnation uint64 // incarnation of the node that received the call from the application
 	Sequence          uint32 // sequence number of the call at that node
 	Attempt           uint8  // number of the attempt, starting at 0
-	// TargetIncarnation is the incarnation of the receiver, on whose clock Deadline is a time. It is 0 if the sender does not know one. The
-	// receiver then rejects the request, and its response carries its incarnation and clock.
+	// TargetIncarnation is the incarnation of the receiver. It is 0 if the sender does not know the incarnation. The receiver then answers
+	// AttemptDeadlineInvalid, and the response carries the receiver's incarnation and clock.
 	TargetIncarnation uint64
-	Deadline          time.Duration
+	Deadline          time.Duration // time of the receiver's monotonic clock
 	Call              Call
 }
 
 // ForwardResponse is the answer to a ForwardRequest and ends the attempt.
 type ForwardResponse struct {
-	OriginIncarnation    uint64 // OriginIncarnation, Sequence and Attempt are copied from the request
+	OriginIncarnation    uint64 // copied from the request, as are Sequence and Attempt
 	Sequence             uint32
 	Attempt              uint8
 	Outcome              AttemptOutcome
-	LeaderHint           string // with AttemptRejected: the leader's address, or empty if the responder knows none
+	LeaderHint           string // with AttemptRejected: the leader's address, or empty if the responder knows no leader
 	ResponderIncarnation uint64
 	ResponderClock       time.Duration // monotonic time at which the response was sent
 	Result               Result        // set with AttemptDone
@@ -40,7 +40,7 @@
 // The outcomes of an attempt.
 const (
 	AttemptDone            AttemptOutcome = iota // the call ended with the result
-	AttemptRejected                              // no effect, now or later: the node does not lead the group, or lost its leadership
+	AttemptRejected                              // no effect, now or later: the receiver does not lead the group, or lost its leadership
 	AttemptAmbiguous                             // the attempt may have taken effect, or may still take effect
-	AttemptDeadlineInvalid                       // no effect, now or later: Deadline had passed, or is of another incarnation's clock
+	AttemptDeadlineInvalid                       // no effect, now or later: Deadline had passed, or refers to the clock of another incarnation
 )
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -8,16 +8,16 @@
 
 // Env is the interface through which a service uses its node.
 type Env interface {
-	// Send passes a message to the link to another node. It returns false if there is no link, in which case the message never arrives.
-	// True is no guarantee, because the message may still be lost or late.
+	// Send passes a message to the link to another node. It returns false if there is no link. The message then never arrives. If Send
+	// returns true, the message may still be lost or late.
 	Send(to string, m *Message) bool
-	// ScheduleAt schedules a timer for a sequence number, at a time of groups.Host.Now. When the timer expires, the node calls Service.Due
-	// if Service.Live returns true for the number.
+	// ScheduleAt sets a timer for a sequence number. The timer expires at the time at, by the clock of groups.Host.Now. When the timer
+	// expires, the node calls Service.Due if Service.Live returns true for the sequence number.
 	ScheduleAt(at time.Duration, sequence uint32)
 	// InputDelay returns how long the input of the current turn may have waited unread because the process was suspended.
 	InputDelay() time.Duration
-	// HasQuorumContact reports whether this node recently had contact with a majority. Without it, calls end at once, so that callers
-	// switch to another node.
+	// HasQuorumContact reports whether this node recently had contact with a majority. Without quorum contact, calls end at once, so that
+	// callers switch to another node.
 	HasQuorumContact() bool
 }
 
@@ -25,7 +25,7 @@
 type Config struct {
 	Address          string        // address of this node among the nodes
 	Incarnation      uint64        // incarnation of this node's process
-	HistoryRetention time.Duration // how long a watch may take to resume; the setting bounds.history
+	HistoryRetention time.Duration // how long after an event was received a watch may resume from it; the setting bounds.history
 	TestingKnobs     TestingKnobs  // set only by tests
 }
 
@@ -41,9 +41,9 @@
 	parkedWatches    map[uint32]*parkedWatch
 	parkedByKeyGroup map[string]map[uint32]*parkedWatch // the same watches by key group, then by sequence number
 	sharedWatches    map[watchKey]*sharedWatch
-	watcherCount     int                    // callers in all shared watches
-	remoteClocks     map[string]remoteClock // by address
-	// changedKeyGroups lists the key groups with parked watches that were put since the last call of NotifyWatchers.
+	watcherCount     int                    // number of callers in all shared watches
+	remoteClocks     map[string]remoteClock // clocks of the other nodes, by address
+	// changedKeyGroups lists the key groups that have parked watches and had a put since the last call of NotifyWatchers.
 	changedKeyGroups []string
 	counters         Counters
 }
@@ -73,7 +73,7 @@
 		done(r)
 	}
 	if s.env.InputDelay() > maxInputDelay && !s.config.TestingKnobs.IgnoreDeadlines {
-		countAndReply(Result{Status: StatusUnavailable}) // the caller has switched to another node, and may have continued
+		countAndReply(Result{Status: StatusUnavailable}) // the caller may have abandoned the call: see maxInputDelay
 		return
 	}
 	if c.Operation == KeyWatch {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Live reports whether the call or parked watch with a sequence number still exists, so that its timer is needed.
+// Live reports whether the call or parked watch with a sequence number still exists. The node ignores a timer whose number does not exist.
 func (s *Service) Live(sequence uint32) bool {
 	return s.pending[sequence] != nil || s.parkedWatches[sequence] != nil
 }
@@ -108,8 +108,8 @@
 	}
 }
 
-// nextSequence returns the sequence number of a new call or parked watch. Neither lives long enough for its 32-bit number to be assigned
-// again.
+// nextSequence returns the sequence number of a new call or parked watch. Each call and each parked watch ends long before its 32-bit number
+// is assigned again.
 func (s *Service) nextSequence() uint32 {
 	s.lastSequence++
 	return s.lastSequence
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Snapshot returns the encoded complete state. It encodes everything in a fixed order, so that members that applied the same entries return
-// the same bytes.
+// Snapshot returns the encoded complete state. The contents are encoded in a fixed order, so that members that applied the same entries
+// return the same bytes.
 func (s *State) Snapshot() []byte {
 	var enc encoder
 	enc.writeUint(formatVersion)
@@ -24,8 +24,8 @@
 	return enc.bytes
 }
 
-// Restore replaces the complete state with that of a snapshot. An empty snapshot is the initial state of a group. If Restore returns an
-// error, ErrTruncated or ErrUnknownVersion, the state is unchanged.
+// Restore replaces the complete state with the state in a snapshot. An empty snapshot stands for the initial state of a group. Restore
+// returns an error that wraps ErrTruncated or ErrUnknownVersion if the snapshot can't be decoded. The state is then unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	restored := newContents()
 	if len(snapshot) > 0 {
@@ -155,7 +155,7 @@
 	}
 }
 
-// decodeGroup decodes a key group and adds its size to the table's.
+// decodeGroup decodes a key group and adds the sizes of its keys and events to the sizes of the table.
 func (k *keyTable) decodeGroup(dec *decoder) *keyGroup {
 	g := &keyGroup{revision: dec.readUint(), compactedRevision: dec.readUint(), keys: map[string]keyValue{}}
 	for range dec.readCount() {
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -6,16 +6,16 @@
 // depend only on the applied entries.
 type State struct {
 	contents
-	historyRetention  time.Duration // how long a watch may take to resume
+	historyRetention  time.Duration // how long after an event was received a watch may resume from it
 	knobs             TestingKnobs
 	onKeyGroupChanged func(keyGroup string) // called after each put, and for each key group of a restored snapshot
-	onLogTimeAdvanced func()                // called for each entry and each restored snapshot
+	onLogTimeAdvanced func()                // called after an entry or a restored snapshot has set logTime
 }
 
 // contents is the part of the state that a snapshot holds.
 type contents struct {
 	logTime          time.Duration // log time of the newest entry
-	lastFencingToken uint64        // the newest token of all locks of the group
+	lastFencingToken uint64        // the newest token that was granted for any lock of the group
 	locks            map[string]*lockState
 	retiredCalls     []retiredCall // oldest first
 	numbers          map[string]uint64
@@ -36,14 +36,14 @@
 	}
 }
 
-// Apply applies the next entry of the log and returns its encoded result. An entry that can't be decoded changes nothing. Its result is
-// StatusAmbiguous, because a newer version of the program may know its effect.
+// Apply applies the next entry of the log and returns the encoded result. An entry that can't be decoded changes nothing. The result then has
+// StatusAmbiguous, because a newer version of the program may be able to apply the entry.
 func (s *State) Apply(_ uint64, bytes []byte) []byte {
 	e, err := decodeEntry(bytes)
 	if err != nil {
 		return encodeResult(Result{Status: StatusAmbiguous})
 	}
-	// A new leader may have stamped entries by a clock that was behind. Log time never goes back.
+	// The log time of a new leader may be behind the log time of an earlier leader's entries. Log time never goes back.
 	s.logTime = max(s.logTime, e.logTime)
 	s.onLogTimeAdvanced()
 	return encodeResult(s.applyEntry(&e))
--- a/internal/gateway/coordination/state_test.go
+++ b/internal/gateway/coordination/state_test.go
@@ -10,25 +10,26 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntry returns a random entry that uses a few names and whose log time is 0 to 3 s after the previous entry's.
+// drawEntry returns an encoded random entry and advances logTime by 0 to 3 s. Entries use few names, so that they often concern the same locks
+// and keys.
 func drawEntry(t *rapid.T, logTime *time.Duration, sequence uint32) []byte {
-	*logTime += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
+	*logTime += time.Duration(rapid.IntRange(0, 3000).Draw(t, "milliseconds since the previous entry")) * time.Millisecond
 	drawName := func(name string, limit int) string { return fmt.Sprint(name, rapid.IntRange(0, limit).Draw(t, name)) }
-	e := entry{logTime: *logTime, callID: CallID{Incarnation: 5, Sequence: sequence - uint32(rapid.IntRange(0, 1).Draw(t, "copy"))}}
+	e := entry{logTime: *logTime, callID: CallID{Incarnation: 5, Sequence: sequence - uint32(rapid.IntRange(0, 1).Draw(t, "is copy of the previous call"))}}
 	e.call = Call{Operation: Operation(rapid.IntRange(int(LockAcquire), int(KeyPut)).Draw(t, "operation")), Name: drawName("n", 2),
 		Holder: drawName("h", 2), FencingToken: uint64(rapid.IntRange(0, 4).Draw(t, "fencing token")), Value: drawName("v", 30),
 		TTL: time.Duration(rapid.IntRange(1, 5000).Draw(t, "TTL")) * time.Millisecond, Conditional: rapid.Bool().Draw(t, "conditional"),
-		ExpectedRevision: uint64(rapid.IntRange(0, 3).Draw(t, "expected"))}
+		ExpectedRevision: uint64(rapid.IntRange(0, 3).Draw(t, "expected revision"))}
 	return e.encode()
 }
 
-// A member that restores a snapshot continues like one that applied all entries. It returns the same results and has the same bytes.
+// A member that restores a snapshot returns the same results and snapshots afterwards as a member that applied all entries.
 func TestRestoredStateMatchesAppliedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		appliedState, restoredState := NewState(time.Second), NewState(time.Second)
 		var logTime time.Duration
-		for index := range uint32(rapid.IntRange(1, 60).Draw(t, "entries")) {
-			if rapid.IntRange(0, 9).Draw(t, "restores") == 0 {
+		for index := range uint32(rapid.IntRange(1, 60).Draw(t, "number of entries")) {
+			if rapid.IntRange(0, 9).Draw(t, "restore if 0") == 0 {
 				must.NoError(t, restoredState.Restore(appliedState.Snapshot()))
 			}
 			encodedEntry := drawEntry(t, &logTime, index)
@@ -40,7 +41,7 @@
 	})
 }
 
-// Bytes that are not a valid entry or snapshot leave the state unchanged.
+// A truncated snapshot that Restore rejects leaves the state unchanged. Apply of random bytes does not panic.
 func TestCorruptBytesLeaveStateUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(time.Second)
@@ -51,7 +52,7 @@
 		before := s.Snapshot()
 		s.Apply(11, rapid.SliceOf(rapid.Byte()).Draw(t, "entry"))
 		after := s.Snapshot()
-		if length := rapid.IntRange(1, len(before)-1).Draw(t, "cut"); s.Restore(before[:length]) != nil {
+		if length := rapid.IntRange(1, len(before)-1).Draw(t, "snapshot length"); s.Restore(before[:length]) != nil {
 			must.Eq(t, after, s.Snapshot())
 		}
 	})
@@ -70,7 +71,7 @@
 		result := apply(Call{Operation: LockAcquire, Name: fmt.Sprint("l", i), Holder: "h", TTL: time.Second}, time.Duration(i)*time.Microsecond)
 		must.Eq(t, i == maxLocks, result.Status == StatusLimitReached)
 	}
-	// Locks whose lease has expired make room for new ones.
+	// A new lock replaces locks whose lease has expired.
 	must.Eq(t, StatusOK, apply(Call{Operation: LockAcquire, Name: "l", Holder: "h", TTL: time.Second}, time.Minute).Status)
 	for i := range maxNumbers + 1 {
 		must.Eq(t, i == maxNumbers, apply(Call{Operation: NumberNext, Name: fmt.Sprint("n", i)}, time.Minute).Status == StatusLimitReached)
@@ -98,7 +99,7 @@
 	}
 	must.Eq(t, Result{Revision: 1}, put("a", 0))
 	must.Eq(t, Result{Revision: 2}, put("b", 1))
-	// The first copy of this put is the reason why the key no longer has revision 1.
+	// A copy of this put gets the revision of the put, although the put itself has raised the key's revision above the expected one.
 	must.Eq(t, Result{Revision: 2}, put("b", 1))
 	must.Eq(t, Result{Revision: 1}, put("a", 0))
 	must.Eq(t, Result{Status: StatusConflict, Revision: 2}, put("c", 1))
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -2,12 +2,12 @@
 
 import "clovergap/internal/gateway/groups"
 
-// Counters count the events at a service since its start.
+// Counters holds the numbers of events at a service since the service's start.
 type Counters struct {
 	Calls             [LockList + 1]uint64        // calls received from callers, by operation
 	Results           [StatusAmbiguous + 1]uint64 // results returned to callers, by status
 	Forwarded         uint64                      // attempts sent to another node
-	LateRequests      uint64                      // forwarded calls that arrived from other nodes after their deadline
+	LateRequests      uint64                      // forwarded calls from other nodes that arrived after their deadline
 	LeadershipsGained uint64
 	LeadershipsLost   uint64
 }
@@ -17,7 +17,7 @@
 	Counters      Counters
 	Pending       int           // calls that this node received and that have not ended
 	Watchers      int           // callers of this node that wait in shared watches
-	ParkedWatches int           // watches from all nodes that wait here, at the leader of their group
+	ParkedWatches int           // watches from all nodes that wait at this node, as the leader of their group
 	Groups        []GroupStatus // the groups whose state this node has
 }
 
--- a/internal/gateway/coordination/testing_knobs.go
+++ b/internal/gateway/coordination/testing_knobs.go
@@ -1,7 +1,7 @@
 package coordination
 
-// TestingKnobs are switches that each disable one safeguard, so that tests can show that they detect its absence. All are off in
-// production, because only tests set Config.TestingKnobs.
+// TestingKnobs holds switches that each disable one safeguard. Tests set one switch and check that the resulting violation is detected. All
+// switches are off in production, because only tests set Config.TestingKnobs.
 type TestingKnobs struct {
 	// Locks.
 	ReuseFencingToken     bool // the next holder of a lock gets the previous holder's fencing token
@@ -21,7 +21,7 @@
 	IgnoreExpectedRevision     bool // a conditional put succeeds whatever the key's revision
 	CompareRevisionFirst       bool // a repeated put is compared with the expected revision like a new one
 	RepeatPuts                 bool // a repeated put is applied again as a new one
-	ConflictShowsGroupRevision bool // a conflict returns the revision of the key group, not of the key
+	ConflictShowsGroupRevision bool // a conflict returns the revision of the key group instead of the key's revision
 
 	// Reads.
 	ReadWithoutQuorum  bool // a read does not confirm the leadership
@@ -32,8 +32,8 @@
 	// Snapshots.
 	SnapshotWithoutPuts         bool // a snapshot lacks the digests of puts
 	SnapshotWithoutFencingToken bool // a snapshot lacks the last fencing token
-	SnapshotWithoutHistory      bool // a snapshot lacks the events, and its compacted revision does not show that
+	SnapshotWithoutHistory      bool // a snapshot lacks the events, but its compacted revision is not raised accordingly
 
-	// NextNumber, if not nil, returns the numbers in place of the log. incarnation is the node's.
+	// NextNumber replaces the log as the source of numbers, unless it is nil. incarnation is the incarnation of the leader's process.
 	NextNumber func(incarnation uint64, name string) uint64
 }
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -18,8 +18,8 @@
 	reply         replyFunc
 }
 
-// serveWatch answers a watch as soon as there are events or the watch's timeout has passed. Events are committed, so returning them
-// requires no confirmation by a majority. An answer without events requires one, and so does the current revision.
+// serveWatch answers a watch as soon as there are events or the watch's timeout has passed. All events are committed, so an answer with
+// events requires no confirmation of the leadership. An answer without events, or with only the current revision, requires a confirmation.
 func (s *Service) serveWatch(group groups.ID, c *Call, reply replyFunc) {
 	state := s.hosted[group].state
 	if c.AfterRevision == 0 {
@@ -47,7 +47,7 @@
 	s.parkWatch(w)
 }
 
-// hasEventsOrError reports whether a watch with this result ends, because the result has events or an error.
+// hasEventsOrError reports whether the result has events or a status other than StatusOK. A watch with such a result ends.
 func (r *Result) hasEventsOrError() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
 func (s *Service) parkWatch(w *parkedWatch) {
@@ -85,15 +85,16 @@
 	s.answerExpiredWatch(w)
 }
 
-// answerExpiredWatch answers a watch whose timeout has passed, after a majority has confirmed that the watch has missed no events.
+// answerExpiredWatch answers a watch whose timeout has passed. It waits until a majority has confirmed the leadership, because the state of a
+// former leader may lack events.
 func (s *Service) answerExpiredWatch(w *parkedWatch) {
 	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
 		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
 	})
 }
 
-// NotifyWatchers answers the parked watches of key groups that were put. The node calls it at the end of each turn, so that one answer
-// holds all events of the turn.
+// NotifyWatchers answers the parked watches of the key groups that had a put. The node calls NotifyWatchers at the end of each turn, so that
+// one answer holds all events of the turn.
 func (s *Service) NotifyWatchers() {
 	for len(s.changedKeyGroups) > 0 {
 		keyGroup := s.changedKeyGroups[0]
--- a/internal/gateway/coordination/watch_shared.go
+++ b/internal/gateway/coordination/watch_shared.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// watchKey identifies the watches that can share one answer.
+// watchKey identifies the watches that can share one answer, because they wait for the same events.
 type watchKey struct {
 	keyGroup      string
 	afterRevision uint64
 }
 
-// sharedWatch holds the callers of this node that wait for the same events. One call to the leader serves all of them. The call is repeated
-// every watchPollTimeout.
+// sharedWatch holds the callers of this node that wait for the same events. One call to the leader serves all these callers. The call is
+// repeated every watchPollTimeout.
 type sharedWatch struct {
 	key      watchKey
 	watchers []watcher
@@ -48,8 +48,8 @@
 	s.pollSharedWatch(w)
 }
 
-// pollSharedWatch sends a watch to the leader on behalf of all watchers. The watch ends at the first of their deadlines, or after
-// watchPollTimeout if that is earlier.
+// pollSharedWatch sends one watch to the leader on behalf of all watchers. The watch times out at the earliest deadline of the watchers,
+// but after watchPollTimeout at the latest.
 func (s *Service) pollSharedWatch(w *sharedWatch) {
 	timeout := watchPollTimeout
 	for i := range w.watchers {
@@ -60,8 +60,9 @@
 	s.startCall(&c, callTimeout+timeout, func(result Result) { s.handleSharedPollResult(w, result) })
 }
 
-// handleSharedPollResult passes a result to the watchers. A result without events ends only the watches whose deadline has passed and that
-// were waiting when the call began. For the others the leader's answer may be older than their watch.
+// handleSharedPollResult passes a result to the watchers. A result with events or an error ends all watches. Any other result ends only the
+// watches whose deadline has passed and that were already waiting when the call began. For a watch that joined later, the leader's answer may
+// be older than the watch.
 func (s *Service) handleSharedPollResult(w *sharedWatch, result Result) {
 	now := s.host.Now()
 	var ended, waiting []watcher
--- a/internal/gateway/coordination/wire.go
+++ b/internal/gateway/coordination/wire.go
@@ -6,7 +6,7 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// The kinds of messages. Each encoded message starts with its kind.
+// Kinds of messages. The first value of an encoded message is the kind of the message.
 const (
 	requestKind  = 1
 	responseKind = 2
@@ -25,7 +25,8 @@
 	return enc.bytes
 }
 
-// DecodeMessage decodes a message that Encode encoded. It returns ErrTruncated or ErrUnknownVersion for invalid data.
+// DecodeMessage decodes a message that Message.Encode encoded. For invalid data it returns an error that wraps ErrTruncated or
+// ErrUnknownVersion.
 func DecodeMessage(b []byte) (*Message, error) {
 	dec := decoder{bytes: b}
 	var m Message
@@ -87,7 +88,7 @@
 	return f
 }
 
-// encode appends the fields that the call's operation uses. Log entries store calls in the same format.
+// encode appends the operation, the name and the fields that the operation uses. Log entries store calls in the same format.
 func (c *Call) encode(enc *encoder) {
 	enc.writeUint(uint64(c.Operation))
 	enc.writeString(c.Name)
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -10,21 +10,22 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// maxLogs is the exclusive upper bound of the IDs of the logs in a file.
+// maxLogs is the largest number of logs in a file. The ID of a log is less than maxLogs.
 const maxLogs = replication.LogID(64)
 
 // Keys in the buckets of a log.
 var (
 	headKey      = []byte("head")
 	snapshotKey  = []byte("snap")
-	softStateKey = []byte("note") // in the head bucket of the configuration's log
+	softStateKey = []byte("note") // the soft state; in the head bucket of the configuration's log
 )
 
 // bucketNames holds the names of the buckets of one log.
 type bucketNames struct{ head, snapshot, entries []byte }
 
 // bucketNamesOf returns the names of the buckets of a log. The snapshot of a group's log has its own bucket, so that a write of the head
-// does not rewrite the snapshot. The snapshot of the configuration's log stays in the bucket of its head, as in the first version.
+// does not rewrite the snapshot. The snapshot and the head of the configuration's log share one bucket, because the first version stored them
+// that way.
 func bucketNamesOf(id replication.LogID) bucketNames {
 	if id == replication.ConfigurationLog {
 		return bucketNames{head: []byte("book"), snapshot: []byte("book"), entries: []byte("log")}
@@ -47,7 +48,7 @@
 	return lookupNamedBuckets(tx, id, bucketNamesOf(id))
 }
 
-// lookupNamedBuckets returns the existing buckets of a log that has these bucket names.
+// lookupNamedBuckets returns the existing buckets with the given names as the buckets of a log.
 func lookupNamedBuckets(tx *bbolt.Tx, id replication.LogID, names bucketNames) logBuckets {
 	return logBuckets{id: id, names: names, head: tx.Bucket(names.head), snapshot: tx.Bucket(names.snapshot),
 		entries: tx.Bucket(names.entries)}
@@ -89,8 +90,8 @@
 	return h, nil
 }
 
-// readLog reads a log and validates it. It returns ErrForeignDisk if the log was not written under wantMemberID. If wantMemberID is
-// 0, any member ID is accepted.
+// readLog reads and validates a log. The error wraps ErrForeignDisk if the log was not written under wantMemberID. If wantMemberID is 0,
+// readLog accepts any member ID.
 func (l logBuckets) readLog(wantMemberID replication.MemberID) (state replication.PersistentState, err error) {
 	if name := l.firstMissingBucket(); name != nil {
 		return state, newLogError("read", l.id, name, ErrBucketMissing)
@@ -115,7 +116,8 @@
 	return state, nil
 }
 
-// readSnapshot reads the snapshot. It returns the zero Snapshot for a log that has none because no cluster was founded on it.
+// readSnapshot reads the snapshot of the log. It returns the zero Snapshot for the log of a disk that does not belong to a
+// cluster yet.
 func (l logBuckets) readSnapshot() (replication.Snapshot, error) {
 	value := l.snapshot.Get(snapshotKey)
 	if value == nil {
@@ -128,7 +130,7 @@
 	return stored.toSnapshot(), nil
 }
 
-// readEntries reads all entries in index order.
+// readEntries returns all entries of the log in index order.
 func (l logBuckets) readEntries() ([]replication.Entry, error) {
 	var entries []replication.Entry
 	err := l.entries.ForEach(func(key, value []byte) error {
@@ -142,15 +144,16 @@
 	return entries, err
 }
 
-// writeSnapshotAndEntries applies the snapshot and the entries of a write to the buckets. It does not write the head.
+// writeSnapshotAndEntries stores the snapshot and the entries of a write, and deletes the entries that the write removes. It does not write
+// the head.
 func (l logBuckets) writeSnapshotAndEntries(w *replication.Write) error {
 	if w.Snapshot != nil {
 		if err := putGob(l.snapshot, snapshotKey, newStoredSnapshot(w.Snapshot)); err != nil {
 			return newLogError("write snapshot", l.id, l.names.snapshot, err)
 		}
 	}
-	// Delete by key instead of through the cursor. In bbolt 1.5 a cursor that deletes entries over several pages and then seeks to the
-	// end loops forever over pages that are already empty.
+	// The entries are deleted by key and not through the cursor. In bbolt 1.5 a cursor that deletes entries on several pages and then seeks
+	// to the end loops forever over the empty pages.
 	for _, key := range l.obsoleteKeys(w) {
 		if err := l.entries.Delete(key); err != nil {
 			return newLogError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
@@ -175,8 +178,8 @@
 	return nil
 }
 
-// obsoleteKeys returns the keys of the entries that a write removes. These are the entries that the write's snapshot covers and the
-// entries from the write's first index on.
+// obsoleteKeys returns the keys of the stored entries that a write removes. A write removes the entries up to the index of its snapshot and
+// the entries from its first index on.
 func (l logBuckets) obsoleteKeys(w *replication.Write) (keys [][]byte) {
 	c := l.entries.Cursor()
 	if w.Snapshot != nil {
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -9,17 +9,17 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Causes of errors about the content of a file.
+// Causes of errors that concern the content of a file.
 var (
 	// ErrBucketMissing reports that a log has some of its buckets but not all.
 	ErrBucketMissing = errors.New("bucket is missing")
 	// ErrForeignDisk reports that a group's log was written under another member ID than the configuration's log.
 	ErrForeignDisk = errors.New("log was written under another member ID")
-	// ErrReadBack reports that the memory mapping does not show a transaction that was committed.
-	ErrReadBack = errors.New("data read back differs from data written")
+	// ErrReadBack reports that a transaction was committed but the memory mapping does not show the written data.
+	ErrReadBack = errors.New("data that was read back differs from the data that was written")
 )
 
-// FileError reports an operation that failed on the file of a store or on its directory.
+// FileError reports an operation that failed on the file of a store or on the file's directory.
 type FileError struct {
 	Operation string // for example "open" or "write"
 	Path      string
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("log store: %s %s: %v", f.Operation, f.Path, f.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the failed operation.
 func (f *FileError) Unwrap() error { return f.Err }
 
-// wrapFileError wraps err in a FileError. It returns nil if err is nil.
+// wrapFileError returns a FileError that wraps err. It returns nil if err is nil.
 func wrapFileError(op, path string, err error) error {
 	if err == nil {
 		return nil
@@ -42,8 +42,8 @@
 	return &FileError{Operation: op, Path: path, Err: err}
 }
 
-// CorruptError reports a file that is torn or inconsistent. The caller must treat the disk as lost and may call Wipe to start with an
-// empty one.
+// CorruptError reports a file that is only partly written or is inconsistent. The caller must treat the disk as lost. The caller may call Wipe
+// to start with an empty disk.
 type CorruptError struct {
 	Path string
 	Err  error
@@ -54,12 +54,12 @@
 	return fmt.Sprintf("log store %s is corrupt: %v", c.Path, c.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that occurred when the file was read.
 func (c *CorruptError) Unwrap() error { return c.Err }
 
 // ConflictError reports that a directory holds two files with a state, one under FileName and one under the name of earlier versions. Open
-// cannot tell reliably which file is newer. A disk that continues from the older file would have forgotten votes and acknowledged entries.
-// An operator must remove one of the files. Open has changed neither.
+// cannot determine reliably which file is newer. A node that continued from the older file would lack votes and acknowledged entries. An
+// operator must remove one of the files. Open has changed neither file.
 type ConflictError struct {
 	Current FileSummary // the file named FileName
 	Former  FileSummary // the file with the name of earlier versions
@@ -100,7 +100,7 @@
 	return fmt.Sprintf("%s of log %d in bucket %q: %v", l.Operation, l.Log, l.Bucket, l.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the failed operation.
 func (l *LogError) Unwrap() error { return l.Err }
 
 // newLogError returns a LogError for an operation on a bucket of a log.
@@ -108,5 +108,5 @@
 	return &LogError{Operation: op, Log: log, Bucket: string(bucket), Err: err}
 }
 
-// isDiskFull reports whether err means that the disk or the quota has no space left.
+// isDiskFull reports whether err means that the disk has no space left or that the disk quota is exceeded.
 func isDiskFull(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -11,7 +11,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// An operator needs to find the damage in a corrupt file. Its error names the file, the log, the bucket and the failed operation.
+// An operator needs to find the damage in a corrupt file. The error of Open must therefore contain the file, the log, the bucket and the failed
+// operation.
 func TestErrorsIdentifyFileLogAndBucket(t *testing.T) {
 	const group = replication.LogID(3)
 	for _, c := range []struct {
@@ -22,13 +23,13 @@
 	}{
 		{"missing bucket", func(tx *bbolt.Tx) error { return tx.DeleteBucket([]byte("group 03 log")) },
 			LogError{Operation: "read", Log: group, Bucket: "group 03 log"}, ErrBucketMissing},
-		{"head of another disk", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
+		{"head with the member ID of another disk", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, ErrForeignDisk},
 		{"missing head", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).head.Delete(headKey) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, nil},
-		{"torn snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
+		{"truncated snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
 			LogError{Operation: "read snapshot", Log: group, Bucket: "group 03 snapshot"}, nil},
-		{"torn entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
+		{"truncated entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
 			LogError{Operation: "read entry 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
 		{"gap in the entries", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Delete(indexKey(2)) },
 			LogError{Operation: "check", Log: group, Bucket: "group 03 log"}, nil},
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -16,12 +16,12 @@
 
 const (
 	fileMode         = 0o600
-	lockTimeout      = time.Second // how long to wait for the lock of another process
+	lockTimeout      = time.Second // how long to wait for a file lock that another process holds
 	allocBytes       = 64 << 10    // growth step of the file; bbolt's default of 16 MiB is too much for a disk of 64 MB
 	initialMmapBytes = 1 << 20     // bytes mapped at the start, so that a small file is not remapped as it grows
 )
 
-// filesystem is the part of the operating system that a Store uses beside bbolt's reads and writes. Tests inject faults into it.
+// filesystem holds the file operations that a Store uses in addition to bbolt's reads and writes. Tests replace it to inject faults.
 type filesystem interface {
 	OpenFile(name string, flag int, mode os.FileMode) (*os.File, error)
 	// Sync makes the content of a file, or the entries of a directory, durable.
@@ -59,8 +59,8 @@
 	groups        map[replication.LogID]replication.PersistentState
 }
 
-// isEmpty reports whether there is no state. The file is missing, or its process ended before the first write. No other node knows the
-// member ID of such a file.
+// isEmpty reports whether there is no state. The file is then missing, or the process that created it ended before the first write. No other
+// node knows the member ID of an empty file.
 func (c *contents) isEmpty() bool { return c.configuration.ID == 0 }
 
 // readFile reads the content of a file. It returns empty contents for a file that does not exist or has no bytes. It returns a
@@ -86,8 +86,8 @@
 	return c, nil
 }
 
-// openAndRead opens a file read-only and reads it. Opening a broken file for writing can end the whole process, so the content is checked
-// this way first.
+// openAndRead opens a file read-only and reads all logs. Opening a corrupt file for writing can end the whole process, so Open first reads
+// the file with openAndRead.
 func openAndRead(path string) (contents, error) {
 	var c contents
 	var file *os.File
@@ -106,14 +106,14 @@
 		return errors.Join(err, db.Close())
 	})
 	if err != nil && file != nil {
-		// A panic leaves the file open, mapped and locked. Without an explicit unlock the lock would last as long as the mapping.
+		// After a panic the file is still open, mapped and locked. Without an explicit unlock the lock would last as long as the mapping.
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
 		file.Close()
 	}
 	return c, err
 }
 
-// readContents reads all logs of a file.
+// readContents reads and validates all logs of a file. It returns empty contents for a file without buckets.
 func readContents(db *bbolt.DB) (c contents, err error) {
 	return c, db.View(func(tx *bbolt.Tx) error {
 		configuration := lookupBuckets(tx, replication.ConfigurationLog)
@@ -137,7 +137,7 @@
 	})
 }
 
-// openForWriting opens the file for writing. With create it also initializes a new file. After an error s.file is nil.
+// openForWriting opens the file for writing and sets s.file. If create is true, it also initializes the new file. After an error s.file is nil.
 func (s *Store) openForWriting(create bool) error {
 	err := runRecoveringPanics(func() (err error) {
 		s.file, err = bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true,
@@ -158,7 +158,7 @@
 	return wrapFileError("open", s.path, err)
 }
 
-// initialize writes the initial content of a new file and makes its directory entry durable.
+// initialize writes the initial content of a new file and syncs the directory, so that the file's directory entry is durable.
 func (s *Store) initialize() error {
 	if err := s.file.Update(func(tx *bbolt.Tx) error {
 		configuration, err := createBuckets(tx, replication.ConfigurationLog)
@@ -172,8 +172,8 @@
 	return s.filesystem.Sync(s.dir)
 }
 
-// Wipe removes the file permanently, under its present and its former name. The disk then counts as lost, and the next Open generates a
-// new member ID.
+// Wipe removes the files with the present and the former name from a directory and syncs the directory. The disk then counts as lost, and the
+// next Open generates a new member ID.
 func Wipe(dir string) error {
 	return removeFiles(osFilesystem{}, dir, FileName, formerFileName)
 }
@@ -189,7 +189,7 @@
 	return wrapFileError("sync", dir, fs.Sync(dir))
 }
 
-// runRecoveringPanics runs do and returns a panic or a memory fault in a mapping as an error.
+// runRecoveringPanics runs do and returns the error of do. It returns an error too if do panics or causes a memory fault in a mapping.
 func runRecoveringPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -10,20 +10,21 @@
 
 // FileName is the name of the store's file in the directory that is passed to Open.
 //
-// Earlier versions use the name formerFileName. Open also accepts a file with that name and renames it after it has read the whole file and
-// locked it. Open syncs the file, renames it and syncs the directory. A crash between any two of these steps leaves one file under one of
-// the names, with everything that was ever acknowledged. If a step fails, as on a full disk, the store keeps the name that the file has,
-// RenameError returns the cause, and the next Open tries again.
+// Earlier versions use the name formerFileName. Open also accepts a file with the former name. Open reads the whole file, locks the file, syncs
+// the file, renames it and syncs the directory. A crash between any two of these steps leaves one file under one of the names. The file holds
+// everything that was ever acknowledged. If a step fails, for example on a full disk, the store uses the file under the name that the file has
+// at that time. RenameError then returns the cause, and the next Open tries the rename again.
 //
-// Two files, one under each name, exist if an earlier version ran in the directory after a rename. A file that holds no state is ignored. One file
-// under both names counts as one file, and so do two files with the same bytes. In all other cases Open returns a ConflictError.
+// There may be two files, one under each name, if an earlier version ran in the directory after a rename. Open ignores a file that holds no
+// state. If both names are links to one file, or if both files have the same bytes, Open keeps only the present name. In all other cases Open
+// returns a ConflictError.
 const FileName = "replicas.db"
 
-// formerFileName is the name of the file in versions up to that of 2 December 2026 (dd5a45a).
+// formerFileName is the name of the file in versions up to commit dd5a45a of 2 December 2026.
 const formerFileName = "promptbook.db"
 
-// locateAndReadFile reads the file in the directory under its present or former name and sets s.path to its path. If there is no state, s.path has
-// the present name.
+// locateAndReadFile returns the content of the file under its present or former name and sets s.path to the path of the file. If there is no
+// state, s.path has the present name. If both names hold different states, locateAndReadFile returns a ConflictError.
 func (s *Store) locateAndReadFile() (contents, error) {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	s.path = current
@@ -44,7 +45,7 @@
 		s.path = former
 		return formerContents, formerErr
 	case haveSameBytes(current, former):
-		s.path = former // replaceFormerName renames it over the identical file
+		s.path = former // replaceFormerName renames this file over the identical file
 		return formerContents, formerErr
 	}
 	return contents{}, &ConflictError{Current: newFileSummary(current, &currentContents, currentErr),
@@ -56,7 +57,7 @@
 	return FileSummary{Path: path, ID: c.configuration.ID, Term: c.configuration.Term, Commit: c.configuration.Commit, Err: err}
 }
 
-// isSameFile reports whether two paths name the same file. A filesystem may leave this state after a power loss during a rename.
+// isSameFile reports whether two paths name the same file. After a power loss during a rename, a filesystem may have the file under both names.
 func isSameFile(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
@@ -70,8 +71,8 @@
 	return errA == nil && errB == nil && bytes.Equal(bytesA, bytesB)
 }
 
-// replaceFormerName leaves the open file with its present name only. The file is locked meanwhile, so no other process uses it under either
-// name.
+// replaceFormerName renames the open file to its present name, or removes the former name if the file has both names. The file is locked
+// meanwhile, so no other process uses the file under either name.
 func (s *Store) replaceFormerName() error {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	switch {
@@ -82,8 +83,7 @@
 		if err := s.filesystem.Rename(former, current); err != nil {
 			return wrapFileError("rename", former, err)
 		}
-		// A power loss before the directory is synced may restore the former name. It names the same file, so the next Open finds the file
-		// under that name.
+		// A power loss before the directory is synced may undo the rename. The next Open then finds the same file under the former name.
 		s.path = current
 	case s.hasBothNames:
 		if err := s.filesystem.Remove(former); err != nil {
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -15,7 +15,7 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// newDirWithFormerName returns a new directory with a file under the former name, and the state in that file.
+// newDirWithFormerName returns a new directory that holds a file with a state under the former name, and returns that state.
 func newDirWithFormerName(t *testing.T) (dir string, want replication.PersistentState) {
 	t.Helper()
 	dir = t.TempDir()
@@ -30,7 +30,7 @@
 	return dir, want
 }
 
-// foundingWrite returns the first write of a cluster with one member.
+// foundingWrite returns the first write to a log when a cluster with one member is founded.
 func foundingWrite(id replication.MemberID) replication.Write {
 	return replication.Write{ClusterID: 5, Term: 1, Vote: id, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
@@ -47,7 +47,7 @@
 	return all
 }
 
-// requireState opens the file in a directory and checks that it holds the state and has only the present name.
+// requireState opens the file in a directory and checks that the file holds the state want and has only the present name.
 func requireState(t *testing.T, dir string, want replication.PersistentState) {
 	t.Helper()
 	s, got, err := Open(dir)
@@ -58,8 +58,8 @@
 	must.NoError(t, s.Close())
 }
 
-// Open uses the file of an earlier version, renames it and writes it under its present name. The directory is synced last, because a power
-// loss could otherwise undo the rename.
+// Open renames the file of an earlier version, and later writes go to the renamed file. Open syncs the directory after the rename, because a
+// power loss could otherwise undo the rename.
 func TestFormerNameIsReplaced(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	fs := &faultyFilesystem{}
@@ -67,7 +67,7 @@
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, []string{"sync file", "rename", "sync directory"}, fs.steps)
-	must.Eq(t, filepath.Join(dir, FileName), s.path) // errors name this path from now on
+	must.Eq(t, filepath.Join(dir, FileName), s.path) // later errors contain this path
 	must.Eq(t, want, got)
 	must.Eq(t, []string{FileName}, fileNames(t, dir))
 	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
@@ -77,8 +77,8 @@
 	requireState(t, dir, want)
 }
 
-// A crash before or after any step of the rename loses nothing, even if a power loss undoes a rename whose directory was not synced. The
-// next Open reads the state under whichever name is left and completes the rename.
+// A crash before or after any step of the rename loses no data, even if a power loss undoes a rename whose directory was not synced. The next
+// Open reads the state from the file that is left, under either name, and completes the rename.
 func TestCrashDuringRenameLosesNothing(t *testing.T) {
 	crashPoints := 0
 	for crashAt := 1; ; crashAt++ {
@@ -99,8 +99,8 @@
 	}
 }
 
-// If the sync of the directory fails, a later power loss may undo the rename. The writes since then are kept, because both names refer to
-// the same file.
+// If the sync of the directory fails, a later power loss may undo the rename. The writes after the rename are kept, because both names refer
+// to the same file.
 func TestUndoneRenameKeepsLaterWrites(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	s, _, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
@@ -114,8 +114,8 @@
 	requireState(t, dir, want)
 }
 
-// A store whose file cannot be renamed, for example on a full disk, works under the former name, so that its replicas still vote and
-// acknowledge. The next Open renames the file if it can.
+// If the file cannot be renamed, for example on a full disk, the store uses the file under the former name, so that the node's replicas still
+// vote and acknowledge entries. The next Open tries the rename again.
 func TestFailedRenameKeepsFormerName(t *testing.T) {
 	for _, step := range []string{"sync file", "rename"} {
 		dir, want := newDirWithFormerName(t)
@@ -147,7 +147,8 @@
 	requireState(t, dir, want)
 }
 
-// Of two files, the one that holds no state is ignored, whichever name it has. No other node knows the member ID of an empty file.
+// If one of two files holds no state, Open ignores the empty file and uses the other, whichever names the two have. No other node knows the
+// member ID of an empty file.
 func TestEmptyFileIsIgnoredBesideState(t *testing.T) {
 	for _, empty := range []string{FileName, formerFileName} {
 		for _, size := range []string{"no bytes", "no bucket"} {
@@ -159,15 +160,15 @@
 			s, got, err := Open(dir)
 			must.NoError(t, err)
 			must.NoError(t, s.RenameError())
-			must.Eq(t, want, got, must.Sprint(empty, " with ", size))
+			must.Eq(t, want, got, must.Sprint(empty, " is an empty file with ", size))
 			must.NoError(t, s.Close())
 			must.FileExists(t, filepath.Join(dir, FileName))
 		}
 	}
 }
 
-// writeEmptyFile writes the file that a process leaves if it ends before its first write. The file has no bytes, or with withPages the
-// pages of an empty bbolt file.
+// writeEmptyFile writes the file that a process leaves if the process ends before its first write. If withPages is true, the file has the pages
+// of an empty bbolt file. Otherwise it has no bytes.
 func writeEmptyFile(t *testing.T, path string, withPages bool) {
 	t.Helper()
 	must.NoError(t, os.WriteFile(path, nil, fileMode))
@@ -178,7 +179,7 @@
 	}
 }
 
-// One file under both names counts as one, and so do two files with the same bytes.
+// Open accepts a directory in which both names are links to one file, or in which two files have the same bytes.
 func TestSameFileUnderBothNamesIsUsed(t *testing.T) {
 	for _, linked := range []bool{true, false} {
 		dir, want := newDirWithFormerName(t)
@@ -194,17 +195,17 @@
 	}
 }
 
-// Open rejects and does not change two files if both hold a state or one of them cannot be read. The older file lacks votes and entries, so
-// using it could lose them. After an operator has removed one file, Open uses the other.
+// Open returns a ConflictError and changes no file if both files hold a state or one of them cannot be read. If Open chose the older file,
+// votes and acknowledged entries would be lost. After an operator has removed one file, Open uses the other file.
 func TestOpenRejectsTwoStates(t *testing.T) {
 	for name, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
-		"file of another disk made by an earlier version": func(t *testing.T, dir string, _ replication.MemberID) {
+		"file that an earlier version created with a new member ID": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
 			must.NoError(t, err)
 			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(kept.ID)}}))
 			must.NoError(t, s.Close())
 		},
-		"copy with later writes": func(t *testing.T, dir string, id replication.MemberID) {
+		"file with the same member ID and other writes": func(t *testing.T, dir string, id replication.MemberID) {
 			s := &Store{dir: dir, path: filepath.Join(dir, FileName), filesystem: osFilesystem{}, memberID: id}
 			must.NoError(t, s.openForWriting(true))
 			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(id)}}))
@@ -236,7 +237,7 @@
 	}
 }
 
-// If the former name cannot be removed, it stays. The next Open recognizes both names as the same file.
+// If Open cannot remove the former name of a file with both names, both names stay. The next Open recognizes both names as the same file.
 func TestFailedRemovalKeepsFormerName(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	must.NoError(t, os.Link(filepath.Join(dir, formerFileName), filepath.Join(dir, FileName)))
@@ -248,7 +249,7 @@
 	requireState(t, dir, want)
 }
 
-// readFiles returns the contents of files.
+// readFiles returns the contents of the files at the given paths, in the same order.
 func readFiles(t *testing.T, paths ...string) (contents [][]byte) {
 	t.Helper()
 	for _, path := range paths {
@@ -259,7 +260,7 @@
 	return contents
 }
 
-// Wipe removes a corrupt file under its present or its former name.
+// Wipe removes a corrupt file whether the file has its present or its former name.
 func TestWipeRemovesBothNames(t *testing.T) {
 	for _, name := range []string{FileName, formerFileName} {
 		dir := t.TempDir()
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -9,19 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyFilesystem is the operating system's filesystem with injected faults.
+// faultyFilesystem implements filesystem with the operating system's calls and injects faults into them.
 type faultyFilesystem struct {
 	osFilesystem
 	failures map[string]error // error to return, by step such as "rename"
-	crashAt  int              // number of the step, from 1, before which the process ends; 0 means never
-	steps    []string         // the steps reached, in order
+	crashAt  int              // number of the step, from 1, before which a crash is simulated; 0 means no crash
+	steps    []string         // names of the steps that were reached, in order
 	opened   []*os.File
 }
 
-// errCrash is the panic value that simulates the end of the process.
+// errCrash is the panic value that simulates a crash of the process.
 var errCrash = errors.New("simulated crash of the process")
 
-// recordStep records a step and returns its injected error. It panics with errCrash at the step crashAt.
+// recordStep records a step and returns the error that is injected into the step, or nil. It panics with errCrash at the step crashAt.
 func (f *faultyFilesystem) recordStep(name string) error {
 	f.steps = append(f.steps, name)
 	if len(f.steps) == f.crashAt {
@@ -64,8 +64,8 @@
 	return f.osFilesystem.Remove(name)
 }
 
-// openAndCrash opens the file in a directory and simulates a process that is killed before the step crashAt. It returns false if Open
-// finished before that step.
+// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. It returns false if there was no
+// crash because Open has fewer steps.
 func (f *faultyFilesystem) openAndCrash(t *testing.T, dir string) (crashed bool) {
 	t.Helper()
 	defer func() {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// releaseLocks releases the locks of a process that has ended.
+// releaseLocks closes all opened files and releases their locks, as the kernel does when a process ends.
 func (f *faultyFilesystem) releaseLocks() {
 	for _, file := range f.opened {
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -12,8 +12,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Logs in one file stay independent. Open returns each log as if the file held only that log, whether its writes were stored in one
-// transaction or in several. A write to one log does not change another log.
+// A write to one log must not change another log in the same file. Open returns each log as if the file held only that log, whether the writes
+// to the log were stored in one transaction or in several.
 func TestManyLogsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -40,8 +40,9 @@
 		{appendWrite(1, 2, 1, "a", "b"), appendWrite(0, 2, 1, "c"), appendWrite(3, 2, 1, "d", "e", "f")},
 		{appendWrite(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
-			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
-			Entries: []replication.Entry{newEntry(4, 1, "h")}}}},
+			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}},
+			{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
+				Entries: []replication.Entry{newEntry(4, 1, "h")}}}},
 		{foundingWrite(2)},
 	} {
 		must.NoError(t, store.Write(batch))
@@ -65,8 +66,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A transaction that fails, or whose process ends during it, leaves none of its writes in any log. The writes of several groups in one
-// transaction are stored together or not at all.
+// The writes to several logs in one transaction are stored together or not at all. The second write of the transaction exceeds the maximum size
+// of the file, so the first write must not be stored either.
 func TestWriteIsAtomicAcrossLogs(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -88,8 +89,8 @@
 	must.NoError(t, store.Close())
 }
 
-// The file stays below a bound proportional to the retained data while the snapshots of eight groups and of the
-// configuration replace each other, with entries between them. Writes go one at a time, as a WriteQueue issues them.
+// The size of the file stays below a bound that is proportional to the size of the current snapshots and entries. The test repeatedly replaces
+// the snapshots and entries of eight groups and of the configuration, one write at a time, as replication.WriteQueue does.
 func TestSizeOfManyLogsIsBounded(t *testing.T) {
 	const groups = 8
 	for _, stateBytes := range []int{64 << 10, 1 << 20} {
@@ -109,12 +110,12 @@
 		must.NoError(t, store.Close())
 		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
-		t.Logf("%d logs with a snapshot of %d KB and entries of half that size: the file has %d KB", groups+1, stateBytes>>10, info.Size()>>10)
+		t.Logf("size of a file with %d logs, each with a snapshot of %d KB and an entry of half that size: %d KB", groups+1, stateBytes>>10, info.Size()>>10)
 		must.LessEq(t, int64((groups+1)*stateBytes*3/2*5/4+6*stateBytes+256<<10), info.Size())
 	}
 }
 
-// BenchmarkGroupWrite measures the thread's processor time of one synced write of an entry to one of eight groups.
+// BenchmarkGroupWrite measures the processor time that one synced write of an entry to one of eight groups takes on the writing thread.
 func BenchmarkGroupWrite(b *testing.B) {
 	store, state, err := Open(b.TempDir())
 	must.NoError(b, err)
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -25,11 +25,11 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// testdata/dd5a45a*.db.gz are the files of the three members of one cluster. The program at commit dd5a45a (2 December 2026) wrote them, and
-// its nodes were then killed. The first member led the configuration's log. Five nodes of that version ran on the loopback interface and
-// received control calls. The calls created a configuration, three backends, a rollout at its second step, locks, numbers and keys, and 66
-// amendments. Before the snapshot, the disk of another node replaced one disk. After the snapshot, an empty disk at the same address replaced
-// another.
+// testdata/dd5a45a*.db.gz are the files of the three members of one cluster. The program at commit dd5a45a (2 December 2026) wrote the files.
+// Five nodes of that version ran on the loopback interface, received calls and were then killed. The first member led the configuration's log.
+// The calls created a configuration, 66 amendments of the configuration, three backends, a rollout at its second step, locks, numbers and keys.
+// Two members were replaced. Before the snapshot, the disk of another node replaced the member recordedReplaced. After the snapshot, an empty
+// disk at the same address replaced the member recordedLost.
 const (
 	recordedFirst  = "dd5a45a"
 	recordedSecond = "dd5a45a-second" // the empty disk that joined last
@@ -45,7 +45,7 @@
 	recordedReplacement = replication.Member{ID: 834510643323, Addr: "127.122.178.15:17560"}
 )
 
-// newRecordedDir returns a new directory with a recorded file under its former name.
+// newRecordedDir returns a new directory that holds a recorded file under the former name.
 func newRecordedDir(t *testing.T, name string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -60,7 +60,7 @@
 	return dir
 }
 
-// leaderHost is a groups.Host that leads all groups, confirms every read and applies each proposal immediately. Its clock stands still.
+// leaderHost is a groups.Host that leads all groups, confirms every read and applies each proposal immediately. Its clock always returns 0.
 type leaderHost struct {
 	groups.Host
 	machines [groups.Count]groups.StateMachine
@@ -80,7 +80,7 @@
 func (noPeers) HasQuorumContact() bool           { return true }
 func (noPeers) ScheduleAt(time.Duration, uint32) {}
 
-// restoreCoordination restores the groups' logs into the service that answers calls of applications.
+// restoreCoordination returns a coordination service that leads all groups and has the state of the given logs.
 func restoreCoordination(t *testing.T, logs map[replication.LogID]replication.PersistentState) *coordination.Service {
 	t.Helper()
 	s := coordination.New(noPeers{}, coordination.Config{Address: "here", Incarnation: 1, HistoryRetention: 20 * time.Second})
@@ -100,13 +100,13 @@
 	return s
 }
 
-// submitCall returns a service's result for a call.
+// submitCall submits a call to a service and returns the call's result.
 func submitCall(s *coordination.Service, c coordination.Call) (result coordination.Result) {
 	s.Submit(c, func(r coordination.Result) { result = r })
 	return result
 }
 
-// restoreMachine restores the configuration's log into a state machine.
+// restoreMachine returns a state machine with the state of the configuration's log.
 func restoreMachine(t *testing.T, state replication.PersistentState) *statemachine.Machine {
 	t.Helper()
 	machine, err := statemachine.Restore(state.Snapshot.State)
@@ -120,8 +120,8 @@
 	return machine
 }
 
-// Every field of the three members' configuration logs and of the first member's group logs reads back as it was recorded. A changed stored
-// name would lose a field without an error.
+// Each field of the configuration's log of all three members, and of the group logs of the first member, has the recorded value. If a stored
+// name changed, gob would lose the field without an error.
 func TestRecordedLogsAreRead(t *testing.T) {
 	founders := []replication.Member{recordedLeader, recordedReplaced, recordedLost}
 	membersAfterReplacement := []replication.Member{recordedLeader, recordedLost, recordedReplacement}
@@ -200,7 +200,7 @@
 	changes         []uint64
 }
 
-// The configuration's log restores to the configuration, slots, group members and rollout that were acknowledged.
+// The configuration, slots, group members and rollout that the cluster acknowledged are restored from the configuration's log.
 func TestRecordedConfigurationIsRestored(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
 		store, state, err := Open(newRecordedDir(t, name))
@@ -215,9 +215,9 @@
 			`{"name":"t6"},{"name":"t7"},{"name":"t8"},{"name":"t9"},{"name":"t0"},{"name":"t1"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/r1/","variant":"pure","deadline":"1s","target_latency":"1s","target":"s"}]}]}`,
 			string(machine.Configs.Body()))
-		for version := 2; version <= 67; version++ { // an acknowledged amendment is a duplicate when it is sent again
-			verdict, _ := machine.Decide(statemachine.KindAmendConfig, fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`,
-				version, version-1, version%10))
+		for version := 2; version <= 67; version++ { // an acknowledged amendment that is sent again is a duplicate
+			verdict, _ := machine.Decide(statemachine.KindAmendConfig, fmt.Appendf(nil,
+				`{"generation":%d,"parent_version":%d,"upserts":{"services":[{"name":"t%d"}]}}`, version, version-1, version%10))
 			must.Eq(t, routing.Duplicate, verdict, must.Sprint(version))
 		}
 		var slots []membership.SlotHolder
@@ -242,7 +242,8 @@
 		must.False(t, run.Paused)
 		must.Eq(t, rollout.Capacity{Baseline: 200, Canary: 100, PeakInUse: 50}, run.Capacity)
 		must.Eq(t, rollout.Spec{Service: "s", Old: "v1", New: "v2", Advance: "word",
-			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)}, {Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
+			Failing: run.Spec.Failing, Steps: []rollout.Step{{Share: 5000, MinTime: rollout.Duration(time.Second)},
+				{Share: 9000, MinTime: rollout.Duration(time.Second)}}}, run.Spec)
 		must.Eq(t, "{[5xx none wrong] 10 9500 130}", fmt.Sprint(run.Spec.Failing))
 		must.SliceLen(t, 2, run.History)
 		must.Eq(t, "start 1 5000 ana 1796229222189", formatHistoryEntry(run.History[0]))
@@ -253,13 +254,13 @@
 	}
 }
 
-// formatHistoryEntry returns the fields of a history entry separated by spaces.
+// formatHistoryEntry returns the fields of a rollout's history entry, separated by spaces.
 func formatHistoryEntry(p rollout.HistoryEntry) string {
 	return fmt.Sprint(p.Verb, " ", p.Step, " ", p.Share, " ", p.Author, " ", p.UnixMilli)
 }
 
-// The soft state is a value beside the logs that may be out of date or lost. In the recorded file it is the list of the backends that the
-// first member knew when it last saved the value. The test checks that this version decodes the list with all fields of each backend.
+// The soft state in the recorded file is the list of the backends that the first member knew. This version must decode the list with all
+// fields of each backend. If a field name changed, gob would lose the field without an error.
 func TestRecordedBackendsAreRead(t *testing.T) {
 	store, _, err := Open(newRecordedDir(t, recordedFirst))
 	must.NoError(t, err)
@@ -274,7 +275,8 @@
 		newRecord("v2-2", "127.0.0.1:38577", "v2", 3, 71444197)}, records)
 }
 
-// The groups' logs restore to the locks, numbers and keys that were acknowledged. Some are in a snapshot and some in entries after it.
+// The locks, numbers and keys that the cluster acknowledged are restored from the groups' logs, both from a snapshot and from the entries after
+// the snapshot.
 func TestRecordedCoordinationIsRestored(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedThird} {
 		store, _, err := Open(newRecordedDir(t, name))
@@ -298,7 +300,7 @@
 		must.Eq(t, coordination.StatusLockHeld, submitCall(s, coordination.Call{Operation: coordination.LockAcquire, Name: "l1f", Holder: "zoe",
 			TTL: time.Second}).Status)
 		must.Eq(t, 6, submitCall(s, coordination.Call{Operation: coordination.LockAcquire, Name: "name-99", Holder: "zoe",
-			TTL: time.Second}).FencingToken) // group 1's next token
+			TTL: time.Second}).FencingToken) // the next token of group 1
 		for counter, last := range map[string]uint64{"orders": 3, "bills": 2, "name-30": 4} {
 			must.Eq(t, last+1, submitCall(s, coordination.Call{Operation: coordination.NumberNext, Name: counter}).Number)
 		}
@@ -319,13 +321,14 @@
 			{Name: "g1.k5", Value: fmt.Sprint("89-", strings.Repeat("v", 1500)), Revision: 90}, {Name: "g1.k0", Value: "last", Revision: 91}},
 			submitCall(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 88}).Events)
 		must.SliceLen(t, 83, submitCall(s, coordination.Call{Operation: coordination.KeyWatch, Name: "g1.", AfterRevision: 1}).Events)
-		for key, put := range map[string]coordination.Result{"one": {Revision: 1}, "two": {Revision: 2}, "three": {Status: coordination.StatusConflict, Revision: 2}} {
+		for key, put := range map[string]coordination.Result{"one": {Revision: 1}, "two": {Revision: 2},
+			"three": {Status: coordination.StatusConflict, Revision: 2}} {
 			must.Eq(t, put, submitCall(s, coordination.Call{Operation: coordination.KeyPut, Name: "alone", Value: key, Conditional: true, ExpectedRevision: 1}))
 		}
 	}
 }
 
-// recordedState is the state of the configuration's log as the program at commit dd5a45a stores it.
+// recordedState is the state of the configuration's log in the types of the program at commit dd5a45a.
 type recordedState struct {
 	previousState
 	Founders []struct {
@@ -349,7 +352,8 @@
 	Entries []previousEntry
 }
 
-// readAsRecordedVersion renames a file to its former name and reads it with the types of the program at commit dd5a45a.
+// readAsRecordedVersion renames the file in a directory to its former name and decodes the file with the types of the program at commit
+// dd5a45a.
 func readAsRecordedVersion(t *testing.T, dir string) (file recordedFile) {
 	t.Helper()
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
@@ -372,7 +376,8 @@
 		configuration := log(tx, "book", "book", "log")
 		decode(configuration.Snap.State, &file.State.previousState)
 		decode(configuration.Snap.State, &file.State)
-		configuration.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil // their gob encoding contains type names, which differ between versions
+		// The encoded values are cleared, because the gob encoding contains type names, which differ between versions.
+		configuration.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil
 		file.Logs = map[string]recordedBuckets{"configuration": configuration}
 		for id := 1; id <= groups.Count; id++ {
 			name := fmt.Sprintf("group %02d ", id)
@@ -384,8 +389,8 @@
 	return file
 }
 
-// The program at commit dd5a45a can read what this version writes. A recorded file that this version reads and writes again has the same
-// content in the types of that program.
+// The program at commit dd5a45a must be able to read the files of this version. A recorded file that this version has read and written again
+// decodes to the same content as the recorded file, with the types of that program.
 func TestRecordedVersionReadsRewrittenFile(t *testing.T) {
 	for _, name := range []string{recordedFirst, recordedSecond, recordedThird} {
 		from, to := newRecordedDir(t, name), t.TempDir()
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -12,8 +12,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// fileSizeAfterStates writes a sequence of states of about stateBytes each and returns the size of the file. Each state replaces the one
-// before it. A state is written as an entry. A snapshot replaces the entries once they have compactBytes.
+// fileSizeAfterStates writes a sequence of states of about stateBytes each and returns the size of the file. Each state is written as one
+// entry and replaces the previous state. When the entries have at least compactBytes, a snapshot of the newest state replaces the entries.
 func fileSizeAfterStates(t *testing.T, stateBytes, times, compactBytes int) int64 {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -40,9 +40,10 @@
 	return info.Size()
 }
 
-// The file stays at about five times the size of a configuration when whole configurations replace each other and the log is compacted by
-// bytes. A disk of 64 MB has room for many times the file of a 1 MB configuration. It also has room for the file of a 4 MiB configuration,
-// the limit of a control call. Compaction after every 64 entries, whatever their size, let the file grow to the size of 70 configurations.
+// The file stays at about five times the size of a configuration when whole configurations replace each other and the log is compacted
+// according to the size of the entries. A disk of 64 MB is then large enough for the file of a 1 MB configuration many times over, and for the
+// file of a 4 MiB configuration, which is the limit of a control call. With compaction after every 64 entries, whatever their size, the file
+// grew to the size of 70 configurations.
 func TestSizeOfWholeConfigurations(t *testing.T) {
 	times := 20
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
@@ -50,23 +51,24 @@
 	}
 	for _, stateBytes := range []int{250 << 10, 1 << 20, 4 << 20} {
 		size := fileSizeAfterStates(t, stateBytes, times, 256<<10)
-		t.Logf("after %d configurations of %d KB the file has %d KB", times, stateBytes>>10, size>>10)
+		t.Logf("size of the file after %d configurations of %d KB: %d KB", times, stateBytes>>10, size>>10)
 		must.LessEq(t, int64(8*stateBytes+1<<20), size)
 	}
-	must.Greater(t, int64(15<<20), fileSizeAfterStates(t, 1<<20, 20, 64<<20)) // without timely compaction the file exceeds the limit
+	must.Greater(t, int64(15<<20), fileSizeAfterStates(t, 1<<20, 20, 64<<20)) // with rare compaction the file exceeds the limit
 }
 
-// A disk of 64 MB must take 64 whole configurations of 3.4 MB one after the other in the worst patterns of writes. In the first pattern,
-// entries of another leader replace two uncommitted configurations, the most that the log holds of this size. In the second, one write holds
-// a snapshot and the entries after it, as happens after writes to a disk were blocked. In the third, a snapshot of another member replaces
-// everything. The file stays below ten configurations (node.diskCopiesPerState). The test runs at a quarter of that size, and LOGSTORE_STATE
-// sets a larger one.
+// A disk of 64 MB must be large enough for 64 whole configurations of 3.4 MB one after the other, even in the worst patterns of writes. In the
+// first pattern, entries of another leader replace two uncommitted configurations. A log holds at most two uncommitted configurations of this
+// size. In the second pattern, one write contains a snapshot and the entries after the snapshot, as happens after writes to a disk were
+// blocked. In the third pattern, a snapshot of another member replaces the whole log. The file must stay below the size of ten configurations
+// (node.diskCopiesPerState). The test uses configurations of 850 KB, a quarter of 3.4 MB. The environment variable LOGSTORE_STATE sets
+// another size.
 func TestSmallDiskHoldsWholeConfigurations(t *testing.T) {
 	stateBytes := 850_000
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
 		stateBytes = n
 	}
-	const times, seed = 64, 1 // the seed with the largest file of twelve that were tried
+	const times, seed = 64, 1 // of twelve seeds, 1 produced the largest file
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -93,12 +95,12 @@
 			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{one}})
 			writeAndApply(replication.Write{Commit: lastIndex + 1, FirstIndex: lastIndex + 2, Entries: []replication.Entry{two}})
 			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
-		case 1: // another leader's entries replace them
+		case 1: // another leader's entries replace the uncommitted entries
 			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{one, two}})
 			term++
 			writeAndApply(replication.Write{Commit: lastIndex, FirstIndex: lastIndex + 1, Entries: []replication.Entry{entry(lastIndex + 1), entry(lastIndex + 2)}})
 			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
-		case 2: // a snapshot and entries in one write, as after a disk that hung
+		case 2: // one write contains a snapshot and entries, as after blocked writes to the disk
 			writeAndApply(replication.Write{Commit: lastIndex + 1, Snapshot: newSnapshot(lastIndex), FirstIndex: lastIndex + 1, Entries: []replication.Entry{one, two}})
 			writeAndApply(replication.Write{Commit: lastIndex + 2, Snapshot: newSnapshot(lastIndex + 2)})
 		case 3: // a snapshot of another member, as after this member was offline
@@ -111,6 +113,6 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Logf("after %d configurations of %d KB the file has %d KB", times, stateBytes>>10, info.Size()>>10)
+	t.Logf("size of the file after %d configurations of %d KB: %d KB", times, stateBytes>>10, info.Size()>>10)
 	must.LessEq(t, int64(10*stateBytes), info.Size())
 }
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -11,8 +11,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// memberIDShift reduces a random 64-bit number to the 40 bits of a member ID. 40 bits are enough, and a short ID saves bytes because each
-// message carries it.
+// memberIDShift reduces a random 64-bit number to the 40 bits of a member ID. 40 bits are enough to make the random IDs unique. A short ID
+// saves bytes, because each message contains the ID.
 const memberIDShift = 24
 
 // Store is an open file. Only one goroutine may use it at a time.
@@ -23,14 +23,14 @@
 	memberID     replication.MemberID
 	file         *bbolt.DB // nil until the file exists: see HasFile
 	groupLogs    map[replication.LogID]replication.PersistentState
-	hasBothNames bool  // the file was found under both of its names
+	hasBothNames bool  // Open found one file under both its present and its former name
 	renameErr    error // see RenameError
 }
 
-// Open opens the file in a directory, reads all of it and returns the configuration's log. If there is no state, Open creates a file with a
-// new member ID and syncs the file and its directory entry. If the disk is too full for that, the store only has a member ID (see HasFile),
-// and the first Write that finds room creates the file. Until then the store confirms nothing under that ID, so a process that ends before
-// loses only the ID.
+// Open reads the whole file in a directory, opens the file for writing and returns the configuration's log. If there is no state, Open creates
+// a file with a new member ID and syncs the file and its directory entry. If the disk is too full to create the file, the store has only a
+// member ID (see HasFile), and the first Write that finds enough space creates the file. The store confirms no write before the file exists,
+// so a process that ends earlier loses only the member ID.
 //
 // Open returns a CorruptError if the content of the file cannot be read. The caller must then treat the disk as lost: see Wipe. After any
 // other error, such as a FileError or a ConflictError, Open has changed nothing.
@@ -38,7 +38,7 @@
 	return openOnFilesystem(dir, osFilesystem{})
 }
 
-// openOnFilesystem implements Open on a given filesystem.
+// openOnFilesystem does the same as Open, with the file operations of fs.
 func openOnFilesystem(dir string, fs filesystem) (*Store, replication.PersistentState, error) {
 	s := &Store{dir: dir, filesystem: fs}
 	found, err := s.locateAndReadFile()
@@ -74,19 +74,19 @@
 	return id, nil
 }
 
-// HasFile reports whether the file exists, no matter whether this process or an earlier one created it. It returns false if there was no
-// file and the disk was too full to create one. It returns true once a Write or SaveSoftState has created the file.
+// HasFile reports whether the store has a file. It returns false if Open found no file and the disk was too full to create one. It returns true
+// as soon as a later Write or SaveSoftState has created the file.
 func (s *Store) HasFile() bool { return s.file != nil }
 
-// RenameError returns why the file may still have the name of earlier versions, or nil if the file permanently has its present name. The
-// store uses the file in either case, and the next Open tries to rename it again.
+// RenameError returns the error that occurred when Open replaced the former name of the file. It returns nil if the file has only its present
+// name and the rename is durable. The store uses the file in either case, and the next Open tries to rename the file again.
 func (s *Store) RenameError() error { return s.renameErr }
 
 // GroupLogs returns the logs, other than the configuration's, that the file held when it was opened.
 func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
-// ensureCreated creates the file of a store that has none yet. It first removes what an earlier attempt left, which is safe because nothing
-// in it was ever confirmed.
+// ensureCreated creates the file of a store that has no file yet. It first removes the incomplete file of an earlier attempt. The removal is
+// safe, because no write to an incomplete file was ever confirmed.
 func (s *Store) ensureCreated() error {
 	if s.file != nil {
 		return nil
@@ -97,8 +97,8 @@
 	return s.openForWriting(true)
 }
 
-// Write stores writes in one transaction. When it returns nil, all of them are synced. When it returns an error, none of them is on disk,
-// and the caller may retry them.
+// Write stores writes to one or several logs in one transaction. When Write returns nil, all writes are synced. When Write returns an error,
+// none of the writes is on disk, and the caller may retry them.
 func (s *Store) Write(writes []replication.LogWrite) error {
 	if len(writes) == 0 {
 		return nil
@@ -118,7 +118,7 @@
 	}))
 }
 
-// commitWrites runs the transaction of a Write. It stores the snapshots and entries in order and then one head for each log.
+// commitWrites runs the transaction of a Write. It stores the snapshots and entries in the order of the writes, and then one head for each log.
 func (s *Store) commitWrites(writes []replication.LogWrite, heads map[replication.LogID]storedHead) error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		for i := range writes {
@@ -139,8 +139,8 @@
 	})
 }
 
-// verifyHeads reads back the heads that commit wrote. bbolt writes to the file and reads it through a memory mapping. The two differ on a disk
-// that lost the write.
+// verifyHeads reads the heads back that commitWrites wrote. bbolt writes to the file but reads the file through a memory mapping. If the disk
+// lost the write, the mapping shows other heads, and verifyHeads returns ErrReadBack.
 func (s *Store) verifyHeads(heads map[replication.LogID]storedHead) error {
 	return s.file.View(func(tx *bbolt.Tx) error {
 		for id, want := range heads {
@@ -153,8 +153,7 @@
 	})
 }
 
-// SaveSoftState stores a value beside the logs that is useful after a start but may be out of date or lost. It replaces the previous
-// value.
+// SaveSoftState stores the soft state (see the package comment). It replaces the previous soft state.
 func (s *Store) SaveSoftState(value []byte) error {
 	if err := s.ensureCreated(); err != nil {
 		return err
@@ -166,7 +165,7 @@
 	}))
 }
 
-// SoftState returns the value that was saved last. It returns nil if there is none or it cannot be read.
+// SoftState returns the value of the last SaveSoftState. It returns nil if no value was saved or the value cannot be read.
 func (s *Store) SoftState() (value []byte) {
 	if s.file == nil {
 		return nil
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -27,7 +27,7 @@
 	return s.Write(all)
 }
 
-// A reopened file holds the same state that PersistentState.Apply computes from the same writes.
+// Open returns the state that PersistentState.Apply computes from the same writes.
 func TestReopenRestoresAppliedWrites(t *testing.T) {
 	dir := t.TempDir()
 	store, want, err := Open(dir)
@@ -43,7 +43,7 @@
 			Entries: []replication.Entry{newEntry(4, 3, "d"), newEntry(5, 3, "e")}}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
 			Snapshot: &replication.Snapshot{Index: 4, Term: 3, Members: members, State: []byte("abd")}}},
-		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot of another member
+		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot that another member sent
 			Snapshot: &replication.Snapshot{Index: 30, Term: 8, Members: members, State: []byte("z")}}},
 	} {
 		must.NoError(t, writeConfiguration(store, batch))
@@ -62,7 +62,7 @@
 	must.NoError(t, store.Close())
 }
 
-// The file stays below 1 MiB with a state of 100 KB and up to 100 entries of 1 KB after each snapshot.
+// The file stays below 1 MiB if each snapshot has 100 KB and at most 100 entries of 1 KB follow each snapshot.
 func TestSizeIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
@@ -83,12 +83,12 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Logf("the file has %d bytes", info.Size())
+	t.Logf("size of the file: %d bytes", info.Size())
 	must.Less(t, int64(1<<20), info.Size())
 }
 
-// Open of a truncated or overwritten file never crashes the process. It returns an error that names the file, or the file opens because the
-// damage does not affect it.
+// A truncated or partly overwritten file must not crash the process. Open either returns a CorruptError with the path of the file, or succeeds
+// because the damage affects no data in use.
 func TestCorruptFileIsReportedNotFatal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
@@ -128,7 +128,7 @@
 	must.NoError(t, store.Close())
 }
 
-// The soft state keeps only the newest value, which survives a restart. An empty file has none.
+// SoftState returns the newest saved value, also after a restart. It returns nil if no value was saved.
 func TestSoftStateKeepsNewestValue(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
@@ -143,8 +143,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A follower that lags behind receives a snapshot that removes all its entries, over several pages, and a later entry in the same write.
-// This write used to loop forever in a bbolt cursor.
+// A write with a snapshot that removes entries on several pages, and with a later entry, used to loop forever in a bbolt cursor. A follower
+// that lags behind receives such a write.
 func TestSnapshotAndLaterEntriesAreWrittenTogether(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		store, state, err := Open(t.TempDir())
@@ -172,9 +172,9 @@
 	}
 }
 
-// A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any other
-// store once the disk takes writes again, whatever an earlier attempt to create the file left in the directory. After other faults Open still
-// fails and changes nothing.
+// A first start on a full disk used to end the process. The store must then have a member ID but no file, and confirm no write. After the disk
+// has space again, the store creates the file, even if an earlier attempt left an incomplete file in the directory. After other errors than a
+// full disk, Open must fail and change nothing.
 func TestStoreRecoversFromDiskFullAtFirstStart(t *testing.T) {
 	dir := t.TempDir()
 	fs := &faultyFilesystem{failures: map[string]error{"open": unix.EACCES}}
@@ -191,7 +191,7 @@
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}}}}
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 	must.ErrorIs(t, store.SaveSoftState([]byte("one")), unix.ENOSPC)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // the part that the disk had room for
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // the incomplete file of an earlier attempt
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 
 	delete(fs.failures, "open")
@@ -204,7 +204,7 @@
 	must.Len(t, 1, reopened.Entries)
 	must.NoError(t, store.Close())
 
-	fs.failures["open"] = unix.ENOSPC // Open never returns a store without a file if there is a file with a state
+	fs.failures["open"] = unix.ENOSPC // if there is a file with a state, Open must not return a store without a file
 	_, _, err = openOnFilesystem(dir, fs)
 	must.ErrorIs(t, err, unix.ENOSPC)
 }
--- a/internal/gateway/logstore/stored.go
+++ b/internal/gateway/logstore/stored.go
@@ -9,30 +9,31 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Types of the stored values. Gob matches fields by name, and other versions read what this version writes, so these field names must not
-// change when names in package replication do. Older versions ignore a field that is added. A field that is absent decodes as zero.
+// Types of the stored values. Gob matches fields by name, and other versions of the program read what this version writes. These field names
+// must therefore not change when names in package replication change. Older versions ignore a field that was added. A field that is absent
+// decodes as zero.
 type (
-	// storedHead holds everything of a log except the snapshot and the entries.
+	// storedHead is the stored form of the head of a log: everything except the snapshot and the entries.
 	storedHead struct {
-		Me        replication.MemberID // the disk's member ID
-		For       replication.MemberID // the member that got this disk's vote in the term
+		Me        replication.MemberID // the member ID of the disk
+		For       replication.MemberID // the member that this disk voted for in the term; 0 if it has not voted
 		House     uint64               // the cluster's ID
 		Promise   uint64               // the term
 		Delivered uint64               // the commit index
 	}
-	// storedMember is the member ID of a disk and the address of its node.
+	// storedMember is the stored form of a member: the member ID of a disk and the address of the disk's node.
 	storedMember struct {
 		ID   replication.MemberID
 		Addr string
 	}
-	// storedSnapshot replaces the entries up to and including Index.
+	// storedSnapshot is the stored form of a snapshot. A snapshot replaces the entries up to and including Index.
 	storedSnapshot struct {
 		Index   uint64
 		View    uint64 // the term of the entry at Index
 		Members []storedMember
 		State   []byte
 	}
-	// storedEntry is one entry of the log.
+	// storedEntry is the stored form of one entry of a log.
 	storedEntry struct {
 		Index   uint64
 		View    uint64 // the term of the entry
@@ -42,12 +43,12 @@
 	}
 )
 
-// newStoredHead returns the head of a log after a write by the disk with a member ID.
+// newStoredHead returns the head that a write leaves in a log of the disk with the given member ID.
 func newStoredHead(id replication.MemberID, w *replication.Write) storedHead {
 	return storedHead{Me: id, For: w.Vote, House: w.ClusterID, Promise: w.Term, Delivered: w.Commit}
 }
 
-// toState returns the state that a head describes, without the snapshot and the entries.
+// toState returns the head as a PersistentState without snapshot and entries.
 func (s storedHead) toState() replication.PersistentState {
 	return replication.PersistentState{ID: s.Me, ClusterID: s.House, Term: s.Promise, Vote: s.For, Commit: s.Delivered}
 }
@@ -68,7 +69,7 @@
 	return replication.Entry{Index: s.Index, Term: s.View, Kind: s.Kind, Data: s.Data, Members: toMembers(s.Members)}
 }
 
-// newStoredMembers converts members to their stored form. It returns nil for none, because most entries have no members.
+// newStoredMembers returns the stored form of members. It returns nil if there are no members, as in most entries.
 func newStoredMembers(members []replication.Member) (stored []storedMember) {
 	for _, m := range members {
 		stored = append(stored, storedMember{ID: m.ID, Addr: m.Addr})
@@ -83,7 +84,8 @@
 	return members
 }
 
-// putGob writes a stored value to a bucket. Each value includes its gob type descriptions, because each value is decoded separately.
+// putGob stores a value in a bucket, encoded with gob. Each encoded value includes its gob type descriptions, because each value is decoded
+// separately.
 func putGob(b *bbolt.Bucket, key []byte, stored any) error {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(stored); err != nil {
@@ -92,5 +94,5 @@
 	return b.Put(key, buf.Bytes())
 }
 
-// decodeGob decodes a value that putGob wrote.
+// decodeGob decodes a value that putGob encoded into the variable that stored points to.
 func decodeGob(b []byte, stored any) error { return gob.NewDecoder(bytes.NewReader(b)).Decode(stored) }
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -18,10 +18,11 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// testdata/before.db.gz is the file of a member as the previous version left it (2 December 2026, before the renaming of identifiers). Its
-// cluster had three nodes that took a configuration, 70 amendments and a rollout with nine backends.
+// The previous version of the program wrote testdata/before.db.gz (2 December 2026, before the renaming of identifiers). It is the file of one
+// member of a cluster of three nodes. The cluster had received a configuration, 70 amendments of the configuration, and a rollout with nine
+// backends.
 
-// previousVersionDir returns a new directory with the previous version's file under its former name.
+// previousVersionDir returns a new directory that holds the previous version's file under the former name.
 func previousVersionDir(t *testing.T) (dir string) {
 	dir = t.TempDir()
 	f, err := os.Open("testdata/before.db.gz")
@@ -35,7 +36,7 @@
 	return dir
 }
 
-// The types of the previous version, reduced to the field names and types that gob matches.
+// The stored types of the previous version, reduced to the field names and types that gob matches.
 type (
 	previousHead struct {
 		Me, For                   uint64
@@ -99,8 +100,8 @@
 	}
 )
 
-// readAsPreviousVersion renames a file to its former name and reads it with the types of the previous version. See "Two versions side by
-// side" in docs/state.md.
+// readAsPreviousVersion renames the file in a directory to its former name and decodes the file with the types of the previous version. See
+// "Two versions side by side" in docs/state.md.
 func readAsPreviousVersion(t *testing.T, dir string) (file previousFile) {
 	decode := func(b []byte, v any) { must.NoError(t, gob.NewDecoder(bytes.NewReader(b)).Decode(v)) }
 	must.NoError(t, os.Rename(filepath.Join(dir, "replicas.db"), filepath.Join(dir, "promptbook.db")))
@@ -122,12 +123,13 @@
 	decode(file.Snap.State, &file.State)
 	decode(file.State.Bills, &file.Configs)
 	decode(file.State.Rollouts, &file.Runs)
-	file.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil // their gob encoding contains type names, which differ between versions
+	// The encoded values are cleared, because the gob encoding contains type names, which differ between versions.
+	file.Snap.State, file.State.Bills, file.State.Rollouts = nil, nil, nil
 	return file
 }
 
-// Open reads a file of the previous version in full, and its state restores to the state that the cluster reported when the file was
-// written.
+// Open reads a file of the previous version completely. The state in the file is restored to the state that the cluster reported when the file
+// was written.
 func TestFileOfPreviousVersionIsRead(t *testing.T) {
 	store, state, err := Open(previousVersionDir(t))
 	must.NoError(t, err)
@@ -154,8 +156,8 @@
 	must.Eq(t, "i-0", records[0].ID)
 }
 
-// The previous version can read a file that this version writes. The same content decodes to the same values with the types of the previous
-// version.
+// The previous version must be able to read a file that this version writes. With the types of the previous version, the file decodes to the
+// same values as the previous version's own file.
 func TestPreviousVersionReadsFile(t *testing.T) {
 	from, to := previousVersionDir(t), t.TempDir()
 	previous, state, err := Open(from)
