--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// testHistoryRetention is short, so that simulations last beyond it.
+// testHistoryRetention is shorter than the simulations, so that the simulations test the compaction of the history.
 const testHistoryRetention = 4 * time.Second
 
 // cluster is a set of simulated nodes over a fault-free model of the replicated groups. Each group has one log of committed entries. Faults
@@ -37,9 +37,9 @@
 
 // event is an action that is scheduled for a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
-	time     time.Duration
-	sequence int
-	action   func()
+	scheduledAt time.Duration
+	sequence    int
+	action      func()
 }
 
 type eventQueue struct {
@@ -50,7 +50,7 @@
 func (e *eventQueue) Len() int { return len(e.events) }
 func (e *eventQueue) Less(i, j int) bool {
 	a, b := e.events[i], e.events[j]
-	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
+	return a.scheduledAt < b.scheduledAt || a.scheduledAt == b.scheduledAt && a.sequence < b.sequence
 }
 func (e *eventQueue) Swap(i, j int) { e.events[i], e.events[j] = e.events[j], e.events[i] }
 func (e *eventQueue) Push(x any)    { e.events = append(e.events, x.(event)) }
@@ -60,17 +60,17 @@
 	return last
 }
 
-// schedule adds an event that runs an action after a delay. A negative delay counts as 0.
-func (c *cluster) schedule(delay time.Duration, action func()) {
+// scheduleEvent adds an event that runs an action after a delay. A negative delay counts as 0.
+func (c *cluster) scheduleEvent(delay time.Duration, action func()) {
 	c.queue.lastSequence++
 	heap.Push(&c.queue, event{c.now + max(delay, 0), c.queue.lastSequence, action})
 }
 
 // runUntil runs all events up to and including the time until.
 func (c *cluster) runUntil(until time.Duration) {
-	for len(c.queue.events) > 0 && c.queue.events[0].time <= until {
+	for len(c.queue.events) > 0 && c.queue.events[0].scheduledAt <= until {
 		e := heap.Pop(&c.queue).(event)
-		c.now = e.time
+		c.now = e.scheduledAt
 		e.action()
 	}
 	c.now = until
@@ -97,9 +97,9 @@
 	committed    map[*byte]*proposal // committed proposals that this node has not applied yet, by the first byte of their entry
 	suspended    bool
 	inputDelay   time.Duration
-	backlog      []func()                 // turns that wait while the node is suspended
+	queuedTurns  []func()                 // turns that wait while the node is suspended
 	isolated     bool                     // the node has no quorum contact
-	delayedUntil map[string]time.Duration // earliest arrival time of messages, by receiver
+	delayedUntil map[string]time.Duration // earliest time at which messages arrive, by receiver
 	brokenLinks  map[string]bool
 	// lastArrival is the arrival time of the newest message, by receiver. Links deliver messages in order.
 	lastArrival map[string]time.Duration
@@ -139,7 +139,7 @@
 		TestingKnobs:     n.cluster.knobs,
 	})
 	n.service.SetHost(n)
-	n.suspended, n.backlog, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
+	n.suspended, n.queuedTurns, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
 	for id := range groups.ID(groups.Count) {
 		n.states[id] = n.service.StateMachine(id)
 		n.applied[id], n.leaderTerm[id], n.proposals[id], n.knownLeader[id] = 0, 0, nil, ""
@@ -167,7 +167,7 @@
 // runTurn runs a turn of the node, or queues it while the node is suspended.
 func (n *node) runTurn(turn func()) {
 	if n.suspended {
-		n.backlog = append(n.backlog, turn)
+		n.queuedTurns = append(n.queuedTurns, turn)
 		return
 	}
 	turn()
@@ -177,7 +177,7 @@
 // scheduleTurn schedules a turn of the node after a delay. The turn is skipped if the node has restarted by then.
 func (n *node) scheduleTurn(delay time.Duration, turn func()) {
 	incarnation := n.incarnation
-	n.cluster.schedule(delay, func() {
+	n.cluster.scheduleEvent(delay, func() {
 		if n.incarnation == incarnation {
 			n.runTurn(turn)
 		}
@@ -188,21 +188,22 @@
 func (n *node) suspend(duration time.Duration) {
 	incarnation := n.incarnation
 	n.suspended = true
-	n.cluster.schedule(duration, func() {
+	n.cluster.scheduleEvent(duration, func() {
 		if n.incarnation != incarnation {
 			return
 		}
 		n.suspended, n.inputDelay = false, duration
-		n.cluster.schedule(20*ms, func() { n.inputDelay = 0 })
-		backlog := n.backlog
-		n.backlog = nil
+		n.cluster.scheduleEvent(20*ms, func() { n.inputDelay = 0 })
+		backlog := n.queuedTurns
+		n.queuedTurns = nil
 		for _, turn := range backlog {
 			n.runTurn(turn)
 		}
 	})
 }
 
-// notifyNodesPeriodically lets each node apply the committed entries of a random group and learn the group's leader, every 20 ms.
+// notifyNodesPeriodically schedules a turn of each node every 20 ms. In the turn, the node applies the committed entries of a random
+// group. It also learns the group's leader, unless the node is isolated.
 func (c *cluster) notifyNodesPeriodically() {
 	for _, n := range c.nodes {
 		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
@@ -214,7 +215,7 @@
 			}
 		})
 	}
-	c.schedule(20*ms, c.notifyNodesPeriodically)
+	c.scheduleEvent(20*ms, c.notifyNodesPeriodically)
 }
 
 // applyCommitted applies the committed entries that the node lacks. A node that lacks more than 5 entries sometimes restores the snapshot of a
@@ -267,7 +268,7 @@
 				l.entries = append(l.entries, p.entry)
 			}
 		}
-		c.schedule(c.randomDuration(0, 900*ms), func() {
+		c.scheduleEvent(c.randomDuration(0, 900*ms), func() {
 			if oldLeader.incarnation == incarnation {
 				oldLeader.runTurn(func() { oldLeader.endLeadership(id, term) })
 			}
@@ -308,7 +309,7 @@
 	}
 	p := &proposal{entry: entry, term: n.leaderTerm[id], callback: done}
 	n.proposals[id] = append(n.proposals[id], p)
-	n.cluster.schedule(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commitFirstProposal(id) })
+	n.cluster.scheduleEvent(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commitFirstProposal(id) })
 }
 
 // commitFirstProposal commits the node's first open proposal, if the node still leads the group in the proposal's term.
@@ -372,7 +373,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.cluster.schedule(arrives-n.cluster.now, func() {
+	n.cluster.scheduleEvent(arrives-n.cluster.now, func() {
 		if peer.incarnation == incarnation {
 			peer.runTurn(func() { peer.service.Receive(from, decoded) })
 		}
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -21,13 +21,13 @@
 func newSimulation(seed uint64, knobs coordination.TestingKnobs) *simulation {
 	s := &simulation{cluster: newCluster(seed, 5, knobs)}
 	s.callers = callers.Start(s, s.rng, callers.Config{Lockers: 6, MaxWatcherPause: testHistoryRetention, LongTTLs: true})
-	s.schedule(300*ms, s.injectFault)
+	s.scheduleEvent(300*ms, s.injectRandomFault)
 	return s
 }
 
 // Now, After and Call implement callers.Environment.
 func (s *simulation) Now() time.Duration                  { return s.now }
-func (s *simulation) After(wait time.Duration, do func()) { s.schedule(wait, do) }
+func (s *simulation) After(wait time.Duration, do func()) { s.scheduleEvent(wait, do) }
 
 // runAndAudit runs the simulation with faults for a duration, audits the final state without faults, and returns the violations.
 func (s *simulation) runAndAudit(duration time.Duration) (violations []callhistory.Violation) {
@@ -44,8 +44,8 @@
 	return violations
 }
 
-// injectFault injects a random fault and schedules the next one.
-func (s *simulation) injectFault() {
+// injectRandomFault injects a random fault and schedules the next one.
+func (s *simulation) injectRandomFault() {
 	if s.faultsEnded {
 		return
 	}
@@ -60,7 +60,7 @@
 		s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 	case 1: // a leader's process is suspended, and another node is elected meanwhile
 		n.suspend(s.randomDuration(100*ms, 4*time.Second))
-		s.schedule(s.randomDuration(0, 400*ms), func() {
+		s.scheduleEvent(s.randomDuration(0, 400*ms), func() {
 			for id := range groups.ID(groups.Count) {
 				if s.logs[id].leader == n && n.suspended {
 					s.electLeader(id, s.randomOtherNode(n))
@@ -76,16 +76,16 @@
 	case 4:
 		n.brokenLinks[to] = true
 		n.service.PeerDisconnected(to)
-		s.schedule(s.randomDuration(50*ms, 2*time.Second), func() { n.brokenLinks[to] = false })
+		s.scheduleEvent(s.randomDuration(50*ms, 2*time.Second), func() { n.brokenLinks[to] = false })
 	case 5:
 		n.isolated = true
-		s.schedule(s.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
+		s.scheduleEvent(s.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
 	case 6:
 		for id := range groups.ID(groups.Count) {
 			s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 		}
 	}
-	s.schedule(s.randomDuration(50*ms, 1500*ms), s.injectFault)
+	s.scheduleEvent(s.randomDuration(50*ms, 1500*ms), s.injectRandomFault)
 }
 
 // Call sends a call to a random node and records the call's result. It calls done once, when the call has ended or when the caller abandons the
@@ -102,14 +102,14 @@
 	}
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	incarnation := n.incarnation
-	s.schedule(s.randomDuration(ms/2, 2*ms), func() {
+	s.scheduleEvent(s.randomDuration(ms/2, 2*ms), func() {
 		if n.incarnation != incarnation {
 			finish()
 			return
 		}
 		n.runTurn(func() {
 			n.service.Submit(c, func(result coordination.Result) {
-				s.schedule(s.randomDuration(ms/2, 2*ms), func() {
+				s.scheduleEvent(s.randomDuration(ms/2, 2*ms), func() {
 					if isDone || n.incarnation != incarnation || s.rng.IntN(50) == 0 && !s.faultsEnded { // the connection is reset
 						finish()
 						return
@@ -123,8 +123,8 @@
 			})
 		})
 	})
-	s.schedule(time.Second+c.Timeout, finish)
+	s.scheduleEvent(time.Second+c.Timeout, finish)
 	if s.rng.IntN(15) == 0 && !s.faultsEnded { // the connection is reset while the call is in progress
-		s.schedule(s.randomDuration(0, 60*ms), finish)
+		s.scheduleEvent(s.randomDuration(0, 60*ms), finish)
 	}
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -42,7 +42,7 @@
 
 // exploreCaller is a caller that uses the lock.
 type exploreCaller struct {
-	awaitedCall  int // number, from 1, of the call whose answer the caller awaits, or 0
+	awaitedCall  int // number, from 1, of the call whose answer the caller awaits; 0 if there is none
 	hasLock      bool
 	expiresAt    time.Duration
 	fencingToken uint64
@@ -107,7 +107,7 @@
 	}
 }
 
-// deliverCopy delivers a copy of a call to the leader and returns the state after it.
+// deliverCopy delivers a copy of a call to the leader and returns the state after the delivery.
 func (e *explorer) deliverCopy(state exploreState, number int) exploreState {
 	c := &state.calls[number]
 	c.inFlight--
@@ -136,7 +136,7 @@
 	return state
 }
 
-// updateCallerOnSuccess updates a caller's state after a successful answer.
+// updateCallerOnSuccess updates the caller and its calls in a state after the caller has received a successful answer to a call.
 func (e *explorer) updateCallerOnSuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
@@ -255,7 +255,7 @@
 }
 
 // In all orders of calls, at most one caller holds the lock, a copy of a call has no effect after the call's deadline, and a late copy of an
-// acquire does not take the lock after its release.
+// acquire does not take a lock that was released.
 func TestLockIsExclusiveInAllCallOrders(t *testing.T) {
 	start, depth := time.Now(), exploreDepth
 	if invariant.Debug { // each state takes ten times as long under the race detector
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -59,7 +59,7 @@
 	now := s.host.Now()
 	p.retryAt = now + retryInterval
 	if p.attempts >= maxAttempts {
-		return // the call waits for its open attempts until its deadline
+		return // the call now waits for the outcomes of earlier attempts until its deadline
 	}
 	target := s.chooseTarget(p)
 	if target == "" {
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -33,7 +33,7 @@
 
 type storedEvent struct {
 	Event
-	recordedAt time.Duration // log time
+	recordedAt time.Duration // log time of the put
 }
 
 // eventOverhead is the number of bytes that an event or a key takes in addition to its strings.
@@ -128,8 +128,8 @@
 	s.compactHistory(g)
 }
 
-// compactHistory removes events that no watch may request any more. It also removes the oldest events while the history exceeds
-// maxHistoryBytes. It always keeps the newest event.
+// compactHistory removes the events of a key group from which no watch may resume any more. While the events of all key groups exceed
+// maxHistoryBytes, it also removes the oldest events of this key group. It always keeps the newest event.
 func (s *State) compactHistory(g *keyGroup) {
 	// The result of a watch may contain an event that is historyRetention old. The caller may resume from that event for another
 	// historyRetention. One second is added as a margin.
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -13,17 +13,17 @@
 	expiresAt     time.Duration // log time (see the package comment) from which the lock is free
 	callID        CallID        // call ID of the holder's last acquire
 	lastAcquireAt time.Duration // log time of the holder's last acquire
-	reacquired    bool          // the holder acquired the lock again while it held it
+	reacquired    bool          // the holder acquired the lock again while holding the lock
 }
 
 // retiredCall identifies an earlier acquire of a lock that has since been released, has expired or was acquired again. A copy of the earlier
 // acquire that arrives late must not take the lock once more, because no caller would know that it holds the lock.
 type retiredCall struct {
 	callID    CallID
-	retiredAt time.Duration // log time
+	retiredAt time.Duration // log time at which the acquire was retired
 }
 
-// isLockFree reports whether no caller can hold a lock at the current log time. l is nil for a lock without state.
+// isLockFree reports whether a lock has no holder at the log time of the newest entry. l is nil for a lock without state.
 func (s *State) isLockFree(l *lockState) bool { return l == nil || s.logTime >= l.expiresAt }
 
 // acquireLock grants a lock if it is free, or extends the lease if the caller already holds the lock.
@@ -109,7 +109,7 @@
 	return l.reacquired && s.logTime-l.lastAcquireAt < staleReleaseWindow && !s.isLockFree(l) && !s.knobs.AcceptStaleRelease
 }
 
-// isLeaseHolder reports whether a call comes from a lock's holder and has the fencing token of its current lease.
+// isLeaseHolder reports whether a call comes from the holder of a lock and has the lock's current fencing token.
 func (s *State) isLeaseHolder(l *lockState, c *Call) bool {
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
@@ -127,7 +127,7 @@
 	return !s.knobs.AcceptRetiredCall && slices.ContainsFunc(s.retiredCalls, func(r retiredCall) bool { return r.callID == id })
 }
 
-// removeExpiredLocks removes locks whose lease has expired, and reports whether it removed any.
+// removeExpiredLocks removes all locks whose lease has expired, and reports whether it removed at least one lock.
 func (s *State) removeExpiredLocks() bool {
 	before := len(s.locks)
 	maps.DeleteFunc(s.locks, func(_ string, l *lockState) bool { return s.isLockFree(l) })
@@ -141,7 +141,7 @@
 	return l != nil && l.holder != holder && max(at, s.logTime) < l.expiresAt
 }
 
-// listLocks returns the locks that are held at a log time and whose name include accepts, sorted by name.
+// listLocks returns the locks that are held at a log time, sorted by name. It omits the locks for whose name include returns false.
 func (s *State) listLocks(at time.Duration, include func(name string) bool) (list []LockInfo) {
 	for _, name := range slices.Sorted(maps.Keys(s.locks)) {
 		if l := s.locks[name]; include(name) && l.expiresAt > at {
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -26,7 +26,8 @@
 	return contents{locks: map[string]*lockState{}, numbers: map[string]uint64{}, keys: newKeyTable()}
 }
 
-// NewState returns the initial state of a group. A watch may resume from any revision that it received within historyRetention.
+// NewState returns the initial state of a group. A watch may resume from any revision that the caller received within
+// historyRetention.
 func NewState(historyRetention time.Duration) *State {
 	return &State{
 		contents:          newContents(),
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -103,7 +103,7 @@
 	if wantMemberID != 0 && head.Me != wantMemberID {
 		return state, newLogError("read head", l.id, l.names.head, ErrForeignDisk)
 	}
-	state = head.toState()
+	state = head.toPersistentState()
 	if state.Snapshot, err = l.readSnapshot(); err != nil {
 		return state, err
 	}
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -35,11 +35,11 @@
 func (f *FileError) Unwrap() error { return f.Err }
 
 // wrapFileError returns a FileError that wraps err. It returns nil if err is nil.
-func wrapFileError(op, path string, err error) error {
+func wrapFileError(operation, path string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &FileError{Operation: op, Path: path, Err: err}
+	return &FileError{Operation: operation, Path: path, Err: err}
 }
 
 // CorruptError reports a file that is only partly written or is inconsistent. The caller must treat the disk as lost. The caller may call Wipe
@@ -104,8 +104,8 @@
 func (l *LogError) Unwrap() error { return l.Err }
 
 // newLogError returns a LogError for an operation on a bucket of a log.
-func newLogError(op string, log replication.LogID, bucket []byte, err error) error {
-	return &LogError{Operation: op, Log: log, Bucket: string(bucket), Err: err}
+func newLogError(operation string, log replication.LogID, bucket []byte, err error) error {
+	return &LogError{Operation: operation, Log: log, Bucket: string(bucket), Err: err}
 }
 
 // isDiskFull reports whether err means that the disk has no space left or that the disk quota is exceeded.
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -149,7 +149,7 @@
 		if !create {
 			return nil
 		}
-		return s.initialize()
+		return s.writeInitialContent()
 	})
 	if err != nil && s.file != nil {
 		s.file.Close()
@@ -158,8 +158,8 @@
 	return wrapFileError("open", s.path, err)
 }
 
-// initialize writes the initial content of a new file and syncs the directory, so that the file's directory entry is durable.
-func (s *Store) initialize() error {
+// writeInitialContent writes the initial content of a new file and syncs the directory, so that the file's directory entry is durable.
+func (s *Store) writeInitialContent() error {
 	if err := s.file.Update(func(tx *bbolt.Tx) error {
 		configuration, err := createBuckets(tx, replication.ConfigurationLog)
 		if err != nil {
@@ -178,7 +178,7 @@
 	return removeFiles(osFilesystem{}, dir, FileName, formerFileName)
 }
 
-// removeFiles removes the named files from a directory and syncs the directory. A file that does not exist is not an error.
+// removeFiles removes the named files from a directory and syncs the directory. It ignores files that do not exist.
 func removeFiles(fs filesystem, dir string, names ...string) error {
 	for _, name := range names {
 		path := filepath.Join(dir, name)
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -24,7 +24,7 @@
 const formerFileName = "promptbook.db"
 
 // locateAndReadFile returns the content of the file under its present or former name and sets s.path to the path of the file. If there is no
-// state, s.path has the present name. If both names hold different states, locateAndReadFile returns a ConflictError.
+// state, s.path has the present name. The comment of FileName tells when it returns a ConflictError.
 func (s *Store) locateAndReadFile() (contents, error) {
 	current, former := filepath.Join(s.dir, FileName), filepath.Join(s.dir, formerFileName)
 	s.path = current
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -21,7 +21,7 @@
 	dir = t.TempDir()
 	s, want, err := Open(dir)
 	must.NoError(t, err)
-	w := foundingWrite(want.ID)
+	w := newFoundingWrite(want.ID)
 	w.Entries = []replication.Entry{newEntry(2, 1, "a")}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: w}}))
 	want.Apply(w)
@@ -30,14 +30,14 @@
 	return dir, want
 }
 
-// foundingWrite returns the first write to a log when a cluster with one member is founded.
-func foundingWrite(id replication.MemberID) replication.Write {
+// newFoundingWrite returns the first write to a log when a cluster with one member is founded.
+func newFoundingWrite(id replication.MemberID) replication.Write {
 	return replication.Write{ClusterID: 5, Term: 1, Vote: id, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
 }
 
-// fileNames returns the names of the files in a directory.
-func fileNames(t *testing.T, dir string) (all []string) {
+// listFileNames returns the names of the files in a directory.
+func listFileNames(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	must.NoError(t, err)
@@ -54,7 +54,7 @@
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, fileNames(t, dir))
+	must.Eq(t, []string{FileName}, listFileNames(t, dir))
 	must.NoError(t, s.Close())
 }
 
@@ -69,7 +69,7 @@
 	must.Eq(t, []string{"sync file", "rename", "sync directory"}, fs.steps)
 	must.Eq(t, filepath.Join(dir, FileName), s.path) // later errors contain this path
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, fileNames(t, dir))
+	must.Eq(t, []string{FileName}, listFileNames(t, dir))
 	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
@@ -90,10 +90,10 @@
 				return
 			}
 			crashPoints++
-			if renameIsUndone && slices.Contains(fileNames(t, dir), FileName) {
+			if renameIsUndone && slices.Contains(listFileNames(t, dir), FileName) {
 				must.NoError(t, os.Rename(filepath.Join(dir, FileName), filepath.Join(dir, formerFileName)))
 			}
-			must.SliceLen(t, 1, fileNames(t, dir))
+			must.SliceLen(t, 1, listFileNames(t, dir))
 			requireState(t, dir, want)
 		}
 	}
@@ -124,7 +124,7 @@
 		must.ErrorIs(t, s.RenameError(), unix.ENOSPC)
 		must.StrContains(t, s.RenameError().Error(), filepath.Join(dir, formerFileName))
 		must.Eq(t, want, got)
-		must.Eq(t, []string{formerFileName}, fileNames(t, dir))
+		must.Eq(t, []string{formerFileName}, listFileNames(t, dir))
 		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 		must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 		want.Apply(later)
@@ -142,7 +142,7 @@
 	_, _, err := Open(dir)
 	var fileErr *FileError
 	must.True(t, errors.As(err, &fileErr), must.Sprint(err))
-	must.Eq(t, []string{formerFileName}, fileNames(t, dir))
+	must.Eq(t, []string{formerFileName}, listFileNames(t, dir))
 	must.NoError(t, other.Close())
 	requireState(t, dir, want)
 }
@@ -202,13 +202,13 @@
 		"file that an earlier version created with a new member ID": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
 			must.NoError(t, err)
-			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(kept.ID)}}))
+			must.NoError(t, s.Write([]replication.LogWrite{{Write: newFoundingWrite(kept.ID)}}))
 			must.NoError(t, s.Close())
 		},
 		"file with the same member ID and other writes": func(t *testing.T, dir string, id replication.MemberID) {
 			s := &Store{dir: dir, path: filepath.Join(dir, FileName), filesystem: osFilesystem{}, memberID: id}
 			must.NoError(t, s.openForWriting(true))
-			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(id)}}))
+			must.NoError(t, s.Write([]replication.LogWrite{{Write: newFoundingWrite(id)}}))
 			must.NoError(t, s.Close())
 		},
 		"corrupt file": func(t *testing.T, dir string, _ replication.MemberID) {
@@ -260,7 +260,7 @@
 	return contents
 }
 
-// Wipe removes a corrupt file whether the file has its present or its former name.
+// Wipe removes a corrupt file under the present name and under the former name.
 func TestWipeRemovesBothNames(t *testing.T) {
 	for _, name := range []string{FileName, formerFileName} {
 		dir := t.TempDir()
@@ -270,6 +270,6 @@
 		must.True(t, errors.As(err, &corrupt), must.Sprint(err))
 		must.Eq(t, filepath.Join(dir, name), corrupt.Path)
 		must.NoError(t, Wipe(dir))
-		must.SliceEmpty(t, fileNames(t, dir))
+		must.SliceEmpty(t, listFileNames(t, dir))
 	}
 }
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -64,8 +64,8 @@
 	return f.osFilesystem.Remove(name)
 }
 
-// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. It returns false if there was no
-// crash because Open has fewer steps.
+// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. It returns false if Open
+// finished before that step.
 func (f *faultyFilesystem) openAndCrash(t *testing.T, dir string) (crashed bool) {
 	t.Helper()
 	defer func() {
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -14,7 +14,7 @@
 
 // A write to one log must not change another log in the same file. Open returns each log as if the file held only that log, whether the writes
 // to the log were stored in one transaction or in several.
-func TestManyLogsReadBack(t *testing.T) {
+func TestLogsInOneFileAreIndependent(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -23,11 +23,11 @@
 		want[id] = replication.PersistentState{ID: state.ID}
 	}
 	members := []replication.Member{{ID: state.ID, Addr: "a"}}
-	foundingWrite := func(id replication.LogID) replication.LogWrite {
+	newFoundingWrite := func(id replication.LogID) replication.LogWrite {
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}
 	}
-	appendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
+	newAppendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
 		w := replication.Write{ClusterID: 5 + uint64(id), Term: term, Commit: 1, FirstIndex: from}
 		for i, text := range data {
 			w.Entries = append(w.Entries, newEntry(from+uint64(i), term, text))
@@ -35,21 +35,21 @@
 		return replication.LogWrite{Log: id, Write: w}
 	}
 	for _, batch := range [][]replication.LogWrite{
-		{foundingWrite(0)},
-		{foundingWrite(3), foundingWrite(1)},
-		{appendWrite(1, 2, 1, "a", "b"), appendWrite(0, 2, 1, "c"), appendWrite(3, 2, 1, "d", "e", "f")},
-		{appendWrite(3, 3, 2, "g")},
+		{newFoundingWrite(0)},
+		{newFoundingWrite(3), newFoundingWrite(1)},
+		{newAppendWrite(1, 2, 1, "a", "b"), newAppendWrite(0, 2, 1, "c"), newAppendWrite(3, 2, 1, "d", "e", "f")},
+		{newAppendWrite(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
 			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}},
 			{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
 				Entries: []replication.Entry{newEntry(4, 1, "h")}}}},
-		{foundingWrite(2)},
+		{newFoundingWrite(2)},
 	} {
 		must.NoError(t, store.Write(batch))
 		for _, w := range batch {
-			kept := want[w.Log]
-			kept.Apply(w.Write)
-			want[w.Log] = kept
+			wantState := want[w.Log]
+			wantState.Apply(w.Write)
+			want[w.Log] = wantState
 		}
 		must.NoError(t, store.Close())
 		store, state, err = Open(dir)
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -67,10 +67,10 @@
 }
 
 func (l *leaderHost) Leadership(groups.ID) (uint64, time.Duration, bool) { return 1, 0, true }
-func (l *leaderHost) ReadIndex(_ groups.ID, then func(bool))             { then(true) }
+func (l *leaderHost) ReadIndex(_ groups.ID, done func(bool))             { done(true) }
 func (l *leaderHost) Now() time.Duration                                 { return 0 }
-func (l *leaderHost) Propose(id groups.ID, entry []byte, then func(groups.Outcome, []byte)) {
-	then(groups.Applied, l.machines[id].Apply(1<<20, entry))
+func (l *leaderHost) Propose(id groups.ID, entry []byte, done func(groups.Outcome, []byte)) {
+	done(groups.Applied, l.machines[id].Apply(1<<20, entry))
 }
 
 // noPeers is a coordination.Env of a node without peers.
@@ -173,7 +173,7 @@
 		got := recordedLog{log.ClusterID, log.Term, log.Vote, log.Commit, log.Snapshot.Index + uint64(len(log.Entries)), nil}
 		for _, e := range log.Entries {
 			if e.Kind == replication.EntryConfigChange {
-				got.changes = append(got.changes, e.Index)
+				got.changeIndexes = append(got.changeIndexes, e.Index)
 			}
 		}
 		must.Eq(t, want, got, must.Sprint("log ", id))
@@ -194,10 +194,10 @@
 // recordedLog is the recorded content of a group's log: its cluster ID, its term and vote, its commit index, the index of its last entry,
 // and the indexes of the entries that changed its members.
 type recordedLog struct {
-	cluster, term   uint64
-	vote            replication.MemberID
-	committed, last uint64
-	changes         []uint64
+	clusterID, term        uint64
+	vote                   replication.MemberID
+	commitIndex, lastIndex uint64
+	changeIndexes          []uint64
 }
 
 // The configuration, slots, group members and rollout that the cluster acknowledged are restored from the configuration's log.
--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -44,7 +44,7 @@
 // according to the size of the entries. A disk of 64 MB is then large enough for the file of a 1 MB configuration many times over, and for the
 // file of a 4 MiB configuration, which is the limit of a control call. With compaction after every 64 entries, whatever their size, the file
 // grew to the size of 70 configurations.
-func TestSizeOfWholeConfigurations(t *testing.T) {
+func TestSizeIsBoundedForWholeConfigurations(t *testing.T) {
 	times := 20
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_TIMES")); err == nil {
 		times = n
@@ -68,7 +68,7 @@
 	if n, err := strconv.Atoi(os.Getenv("LOGSTORE_STATE")); err == nil {
 		stateBytes = n
 	}
-	const times, seed = 64, 1 // of twelve seeds, 1 produced the largest file
+	const times, seed = 64, 1 // of twelve tried seeds, seed 1 produced the largest file
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -85,9 +85,9 @@
 // GroupLogs returns the logs, other than the configuration's, that the file held when it was opened.
 func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
-// ensureCreated creates the file of a store that has no file yet. It first removes the incomplete file of an earlier attempt. The removal is
+// ensureFileExists creates the file of a store that has no file yet. It first removes the incomplete file of an earlier attempt. The removal is
 // safe, because no write to an incomplete file was ever confirmed.
-func (s *Store) ensureCreated() error {
+func (s *Store) ensureFileExists() error {
 	if s.file != nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	if len(writes) == 0 {
 		return nil
 	}
-	if err := s.ensureCreated(); err != nil {
+	if err := s.ensureFileExists(); err != nil {
 		return err
 	}
 	heads := map[replication.LogID]storedHead{}
@@ -155,7 +155,7 @@
 
 // SaveSoftState stores the soft state (see the package comment). It replaces the previous soft state.
 func (s *Store) SaveSoftState(value []byte) error {
-	if err := s.ensureCreated(); err != nil {
+	if err := s.ensureFileExists(); err != nil {
 		return err
 	}
 	return wrapFileError("save soft state to", s.path, runRecoveringPanics(func() error {
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -89,7 +89,7 @@
 
 // A truncated or partly overwritten file must not crash the process. Open either returns a CorruptError with the path of the file, or succeeds
 // because the damage affects no data in use.
-func TestCorruptFileIsReportedNotFatal(t *testing.T) {
+func TestCorruptFileReturnsErrorWithoutCrash(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
 	store, before, err := Open(dir)
--- a/internal/gateway/logstore/stored.go
+++ b/internal/gateway/logstore/stored.go
@@ -48,8 +48,8 @@
 	return storedHead{Me: id, For: w.Vote, House: w.ClusterID, Promise: w.Term, Delivered: w.Commit}
 }
 
-// toState returns the head as a PersistentState without snapshot and entries.
-func (s storedHead) toState() replication.PersistentState {
+// toPersistentState returns the head as a PersistentState without snapshot and entries.
+func (s storedHead) toPersistentState() replication.PersistentState {
 	return replication.PersistentState{ID: s.Me, ClusterID: s.House, Term: s.Promise, Vote: s.For, Commit: s.Delivered}
 }
 
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -22,8 +22,8 @@
 // member of a cluster of three nodes. The cluster had received a configuration, 70 amendments of the configuration, and a rollout with nine
 // backends.
 
-// previousVersionDir returns a new directory that holds the previous version's file under the former name.
-func previousVersionDir(t *testing.T) (dir string) {
+// newPreviousVersionDir returns a new directory that holds the previous version's file under the former name.
+func newPreviousVersionDir(t *testing.T) (dir string) {
 	dir = t.TempDir()
 	f, err := os.Open("testdata/before.db.gz")
 	must.NoError(t, err)
@@ -131,7 +131,7 @@
 // Open reads a file of the previous version completely. The state in the file is restored to the state that the cluster reported when the file
 // was written.
 func TestFileOfPreviousVersionIsRead(t *testing.T) {
-	store, state, err := Open(previousVersionDir(t))
+	store, state, err := Open(newPreviousVersionDir(t))
 	must.NoError(t, err)
 	defer store.Close()
 	must.Eq(t, 0x90d0564f83, state.ID)
@@ -159,7 +159,7 @@
 // The previous version must be able to read a file that this version writes. With the types of the previous version, the file decodes to the
 // same values as the previous version's own file.
 func TestPreviousVersionReadsFile(t *testing.T) {
-	from, to := previousVersionDir(t), t.TempDir()
+	from, to := newPreviousVersionDir(t), t.TempDir()
 	previous, state, err := Open(from)
 	must.NoError(t, err)
 	softState := previous.SoftState()
