--- a/internal/gateway/coordination/entry.go
+++ b/internal/gateway/coordination/entry.go
@@ -32,7 +32,7 @@
 func decodeEntry(b []byte) (e entry, err error) {
 	dec := decoder{bytes: b}
 	if version := dec.readUint(); dec.err == nil && version != formatVersion {
-		return e, errors.Wrapf(ErrUnknownVersion, "decode log entry: version %d", version)
+		return e, errors.Wrapf(ErrUnknownVersion, "decode log entry: version=%d", version)
 	}
 	e.logTime = dec.readDuration()
 	if dec.readBool() {
@@ -65,7 +65,7 @@
 		return r, errors.Wrap(dec.err, "decode result")
 	}
 	if r.Status > StatusAmbiguous {
-		return r, errors.Wrapf(ErrUnknownVersion, "decode result: status %d", r.Status)
+		return r, errors.Wrapf(ErrUnknownVersion, "decode result: status=%d", r.Status)
 	}
 	return r, nil
 }
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -125,7 +125,7 @@
 	}
 	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
 	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).FormatLocks() {
-		e.recordViolation("a late copy of an acquire took the lock after its release")
+		e.recordViolation("a late copy of an acquire took the lock after the holder had released it")
 	}
 	if caller := &state.callers[c.caller]; caller.awaitedCall == number+1 {
 		caller.awaitedCall = 0
@@ -174,7 +174,7 @@
 	e.seen[state] = depth
 	first, second := state.callers[0], state.callers[1]
 	if first.hasLock && second.hasLock && state.now < first.expiresAt && state.now < second.expiresAt {
-		e.recordViolation("both callers hold the lock")
+		e.recordViolation("both callers hold the lock at the same time")
 		return
 	}
 	if depth == e.depth {
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -29,12 +29,12 @@
 	for seed := range runs {
 		s := newSimulation(seed, coordination.TestingKnobs{})
 		for _, v := range s.runAndAudit(simulationDuration) {
-			t.Errorf("seed %d: %v", seed, v)
+			t.Errorf("simulation with seed=%d violates a guarantee: %v", seed, v)
 		}
 		if seed%6 == 0 {
 			violations, undecided := callhistory.Linearizable(s.history, 5*time.Second)
 			for _, v := range violations {
-				t.Errorf("seed %d: %v", seed, v)
+				t.Errorf("history of the simulation with seed=%d is not linearizable: %v", seed, v)
 			}
 			test.SliceEmpty(t, undecided)
 		}
--- a/internal/gateway/coordination/snapshot.go
+++ b/internal/gateway/coordination/snapshot.go
@@ -108,7 +108,7 @@
 func (c *contents) decode(snapshot []byte) error {
 	dec := decoder{bytes: snapshot}
 	if version := dec.readUint(); dec.err == nil && version != formatVersion {
-		return errors.Wrapf(ErrUnknownVersion, "snapshot version %d", version)
+		return errors.Wrapf(ErrUnknownVersion, "decode snapshot: version=%d", version)
 	}
 	c.logTime = dec.readDuration()
 	c.lastFencingToken = dec.readUint()
--- a/internal/gateway/coordination/wire.go
+++ b/internal/gateway/coordination/wire.go
@@ -36,7 +36,7 @@
 	case responseKind:
 		m.Response = decodeForwardResponse(&dec)
 	default:
-		return nil, errors.Wrapf(ErrUnknownVersion, "decode message: kind %d", kind)
+		return nil, errors.Wrapf(ErrUnknownVersion, "decode message: kind=%d", kind)
 	}
 	if dec.err != nil {
 		return nil, errors.Wrap(dec.err, "decode message")
@@ -167,7 +167,7 @@
 	r.Revision = dec.readUint()
 	r.Value = dec.readString()
 	if dec.err == nil && r.Status > StatusAmbiguous {
-		dec.err = errors.Wrapf(ErrUnknownVersion, "result status %d", r.Status)
+		dec.err = errors.Wrapf(ErrUnknownVersion, "decode result: status=%d", r.Status)
 	}
 	for range dec.readCount() {
 		r.Events = append(r.Events, decodeEvent(dec))
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -111,7 +111,7 @@
 		return state, err
 	}
 	if err = state.Validate(); err != nil {
-		return state, newLogError("check", l.id, l.names.entries, err)
+		return state, newLogError("validate", l.id, l.names.entries, err)
 	}
 	return state, nil
 }
@@ -136,7 +136,7 @@
 	err := l.entries.ForEach(func(key, value []byte) error {
 		var stored storedEntry
 		if err := decodeGob(value, &stored); err != nil {
-			return newLogError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("read entry with key %x", key), l.id, l.names.entries, err)
 		}
 		entries = append(entries, stored.toEntry())
 		return nil
@@ -156,7 +156,7 @@
 	// to the end loops forever over the empty pages.
 	for _, key := range l.obsoleteKeys(w) {
 		if err := l.entries.Delete(key); err != nil {
-			return newLogError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("delete entry with key %x", key), l.id, l.names.entries, err)
 		}
 	}
 	if w.FirstIndex == 0 {
@@ -165,7 +165,7 @@
 	for i := range w.Entries {
 		e := &w.Entries[i]
 		if err := putGob(l.entries, indexKey(e.Index), newStoredEntry(e)); err != nil {
-			return newLogError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("write entry with index %d", e.Index), l.id, l.names.entries, err)
 		}
 	}
 	return nil
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -76,15 +76,15 @@
 
 // Error returns a message with both files and the data that distinguishes them.
 func (c *ConflictError) Error() string {
-	return fmt.Sprintf("log store: two files hold a state, remove the older one: %v; %v", c.Current, c.Former)
+	return fmt.Sprintf("log store: two files hold a state; an operator must remove the older file: %v; %v", c.Current, c.Former)
 }
 
 // String returns the path with either the read error or the member ID, the term and the commit index.
 func (f FileSummary) String() string {
 	if f.Err != nil {
-		return fmt.Sprintf("%s (%v)", f.Path, f.Err)
+		return fmt.Sprintf("%s (cannot be read: %v)", f.Path, f.Err)
 	}
-	return fmt.Sprintf("%s (member %x, term %d, commit index %d)", f.Path, uint64(f.ID), f.Term, f.Commit)
+	return fmt.Sprintf("%s (member ID %x, term %d, commit index %d)", f.Path, uint64(f.ID), f.Term, f.Commit)
 }
 
 // LogError reports an operation that failed on one log of a file.
@@ -97,7 +97,7 @@
 
 // Error returns a message with the operation, the log, the bucket and the cause.
 func (l *LogError) Error() string {
-	return fmt.Sprintf("%s of log %d in bucket %q: %v", l.Operation, l.Log, l.Bucket, l.Err)
+	return fmt.Sprintf("%s: log=%d, bucket=%q: %v", l.Operation, l.Log, l.Bucket, l.Err)
 }
 
 // Unwrap returns the error of the failed operation.
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -30,9 +30,9 @@
 		{"truncated snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
 			LogError{Operation: "read snapshot", Log: group, Bucket: "group 03 snapshot"}, nil},
 		{"truncated entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
-			LogError{Operation: "read entry 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
+			LogError{Operation: "read entry with key 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
 		{"gap in the entries", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Delete(indexKey(2)) },
-			LogError{Operation: "check", Log: group, Bucket: "group 03 log"}, nil},
+			LogError{Operation: "validate", Log: group, Bucket: "group 03 log"}, nil},
 		{"missing head of the configuration's log", func(tx *bbolt.Tx) error {
 			return lookupBuckets(tx, replication.ConfigurationLog).head.Delete(headKey)
 		}, LogError{Operation: "read head", Log: replication.ConfigurationLog, Bucket: "book"}, nil},
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -230,7 +230,7 @@
 		must.Eq(t, want.Term, conflict.Former.Term)
 		must.Eq(t, want.Commit, conflict.Former.Commit)
 		must.StrContains(t, err.Error(), current)
-		must.StrContains(t, err.Error(), fmt.Sprintf("%s (member %x, term 1, commit index 1)", former, uint64(want.ID)))
+		must.StrContains(t, err.Error(), fmt.Sprintf("%s (member ID %x, term 1, commit index 1)", former, uint64(want.ID)))
 		must.Eq(t, before, readFiles(t, current, former))
 		must.NoError(t, os.Remove(current))
 		requireState(t, dir, want)
