--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -6,7 +6,8 @@
 	"clovergap/internal/gateway/groups"
 )
 
-// Operation is the kind of a call. Its numbers are sent between nodes and stored in the log, so they must not change.
+// Operation is the kind of a call. The numbers of the operations are sent between nodes and stored in the log, so these numbers must not
+// change.
 type Operation uint8
 
 // The operations. Each comment begins with the operation's path in api/control.yaml.
@@ -80,7 +81,7 @@
 	return false
 }
 
-// Status is the outcome of a call. Its numbers are sent between nodes, so they must not change.
+// Status is the outcome of a call. The numbers of the statuses are sent between nodes, so these numbers must not change.
 type Status uint8
 
 // The statuses and their guarantees. Package controlapi maps them to HTTP status codes.
@@ -138,8 +139,8 @@
 	TimeLeft     time.Duration // time until the lease expires, in log time
 }
 
-// CallID identifies a forwarded call and is the same in all its attempts. It consists of the incarnation of the node that received the call
-// from the application, and of the call's sequence number at that node.
+// CallID identifies a forwarded call and is the same in all attempts of the call. CallID consists of the incarnation of the node that
+// received the call from the application, and of the call's sequence number at that node.
 type CallID struct {
 	Incarnation uint64
 	Sequence    uint32
--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -81,7 +81,7 @@
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// node is a node with its service. It implements groups.Host and coordination.Env for the service.
+// node is a node with its service. node implements groups.Host and coordination.Env for the service.
 type node struct {
 	cluster      *cluster
 	index        int
@@ -202,8 +202,8 @@
 	})
 }
 
-// notifyNodesPeriodically schedules a turn of each node every 20 ms. In the turn, the node applies the committed entries of a random
-// group. It also learns the group's leader, unless the node is isolated.
+// notifyNodesPeriodically schedules a turn of each node every 20 ms. In the turn, the node applies the committed entries of a random group.
+// In the same turn, the node learns the group's leader, unless the node is isolated.
 func (c *cluster) notifyNodesPeriodically() {
 	for _, n := range c.nodes {
 		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -88,8 +88,8 @@
 	s.scheduleEvent(s.randomDuration(50*ms, 1500*ms), s.injectRandomFault)
 }
 
-// Call sends a call to a random node and records the call's result. It calls done once, when the call has ended or when the caller abandons the
-// call.
+// Call sends a call to a random node and records the call's result. The function done is called once, when the call has ended
+// or when the caller abandons the call.
 func (s *simulation) Call(caller string, c coordination.Call, done func(*callhistory.Record)) {
 	r := &callhistory.Record{Caller: caller, Call: c, Sent: s.now, Ended: callhistory.Never}
 	s.history = append(s.history, r)
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -59,8 +59,8 @@
 	released     bool // the call is an acknowledged acquire whose lock was released later
 }
 
-// explorer starts a service as leader in each state that the exploration reaches. It implements groups.Host and coordination.Env for the
-// service.
+// explorer starts a service as leader in each state that the exploration reaches. explorer implements groups.Host and coordination.Env for
+// the service.
 type explorer struct {
 	t           *testing.T
 	knobs       coordination.TestingKnobs
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -40,7 +40,7 @@
 	offset      time.Duration // lower bound of the other clock's time minus the time of this node's clock
 }
 
-// startCall forwards a call to the leader of the call's group. It calls done exactly once, within the timeout.
+// startCall forwards a call to the leader of the call's group. startCall calls done exactly once, within the timeout.
 func (s *Service) startCall(c *Call, timeout time.Duration, done func(Result)) {
 	group := c.GroupID()
 	if len(s.pending) >= maxPendingCalls || !s.isLeader(group) && !s.env.HasQuorumContact() {
@@ -162,7 +162,8 @@
 }
 
 // updateRemoteClock stores the largest offset of a node's clock that was observed. A response takes time to arrive, so each observed offset
-// is at most the true offset. A deadline that is computed from an observed offset is therefore never too late. It may be too early.
+// is at most the true offset. A deadline that is computed from an observed offset is therefore never too late, but may be
+// too early.
 func (s *Service) updateRemoteClock(from string, r *ForwardResponse) {
 	offset := r.ResponderClock - s.host.Now()
 	known, ok := s.remoteClocks[from]
@@ -206,8 +207,8 @@
 	s.env.ScheduleAt(p.retryAt, p.sequence)
 }
 
-// handleCallTimer ends a call at the call's deadline, or when this node has no quorum contact. It starts the next attempt of a call whose
-// target has not answered in time or no longer leads the group.
+// handleCallTimer ends a call at the call's deadline, or when this node has no quorum contact. handleCallTimer starts the next attempt of a
+// call whose target has not answered in time or no longer leads the group.
 func (s *Service) handleCallTimer(p *pendingCall) {
 	now := s.host.Now()
 	switch {
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -54,8 +54,8 @@
 	return keyTable{groups: map[string]*keyGroup{}, putRevisions: map[putDigest]uint64{}}
 }
 
-// putKey stores the value of a key. It stores nothing if the put repeats an earlier put, if the key does not have the expected revision, or
-// if the keys would exceed maxKeyBytes.
+// putKey stores the value of a key. putKey stores nothing if the put repeats an earlier put, if the key does not have the expected
+// revision, or if the keys would exceed maxKeyBytes.
 func (s *State) putKey(c *Call) Result {
 	name := groups.KeyGroup(c.Name)
 	g := s.keys.groups[name]
@@ -129,7 +129,7 @@
 }
 
 // compactHistory removes the events of a key group from which no watch may resume any more. While the events of all key groups exceed
-// maxHistoryBytes, it also removes the oldest events of this key group. It always keeps the newest event.
+// maxHistoryBytes, it also removes the oldest events of this key group. compactHistory always keeps the newest event.
 func (s *State) compactHistory(g *keyGroup) {
 	// The result of a watch may contain an event that is historyRetention old. The caller may resume from that event for another
 	// historyRetention. One second is added as a margin.
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -31,7 +31,7 @@
 	h.anchoredAt = now
 }
 
-// StateMachine creates and returns the state machine of a group. It is part of groups.Application.
+// StateMachine creates and returns the state machine of a group. StateMachine is part of groups.Application.
 func (s *Service) StateMachine(id groups.ID) groups.StateMachine {
 	state := NewState(s.config.HistoryRetention)
 	state.knobs = s.config.TestingKnobs
@@ -48,7 +48,7 @@
 	return state
 }
 
-// LeadershipGained records that this node has become the leader of a group. It is part of groups.Application.
+// LeadershipGained records that this node has become the leader of a group. LeadershipGained is part of groups.Application.
 func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = true
@@ -58,8 +58,8 @@
 	s.counters.LeadershipsGained++
 }
 
-// LeadershipLost handles the end of this node's leadership of a group. It rejects the watches that are parked here. The nodes that forwarded
-// these watches then send them to the new leader. LeadershipLost is part of groups.Application.
+// LeadershipLost handles the end of this node's leadership of a group. LeadershipLost rejects the watches that are parked here. The nodes
+// that forwarded these watches then send them to the new leader. LeadershipLost is part of groups.Application.
 func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = false
@@ -149,8 +149,8 @@
 	return AttemptAmbiguous
 }
 
-// readLinearizable replies with the result of read. It calls read after a majority has confirmed the leadership and after all entries that
-// were committed before the confirmation began are applied. withoutQuorum is a testing knob that skips the confirmation.
+// readLinearizable replies with the result of read. readLinearizable calls read after a majority has confirmed the leadership and after all
+// entries that were committed before the confirmation began are applied. withoutQuorum is a testing knob that skips the confirmation.
 func (s *Service) readLinearizable(group groups.ID, withoutQuorum bool, reply replyFunc, read func() Result) {
 	if withoutQuorum {
 		reply(AttemptDone, read())
--- a/internal/gateway/coordination/limits.go
+++ b/internal/gateway/coordination/limits.go
@@ -44,7 +44,8 @@
 	// retryInterval is the delay before the next attempt if there is no known leader, the link is down, or the newest attempt was rejected
 	// or ended ambiguously.
 	retryInterval = 40 * time.Millisecond
-	// maxAttempts limits the attempts of one call. It may not exceed 32, because pendingCall.openAttempts has one bit for each attempt.
+	// maxAttempts limits the attempts of one call. maxAttempts may not exceed 32, because pendingCall.openAttempts has one bit for each
+	// attempt.
 	maxAttempts = 30
 	// maxInputDelay is the longest time that a call may have waited unread in a socket. After a longer delay the caller may have abandoned
 	// the call and continued.
@@ -60,9 +61,9 @@
 	leaseRoundingMargin = time.Millisecond
 	// retiredCallRetention is longer than any duplicate of a call can be in transit, which is at most maxInputDelay plus callTimeout.
 	retiredCallRetention = 4 * time.Second
-	// staleReleaseWindow is longer than a call can be in transit. A release that arrives within this time after the holder acquired the lock
-	// again may have been sent before that acquire. Releases sent before and after the acquire look the same, because the holder keeps its
-	// fencing token. A release within the window therefore has no effect, and the lock becomes free when its lease expires. It would be
-	// worse to free a lock on which the holder still relies.
+	// staleReleaseWindow is longer than a call can be in transit. A release that arrives within this time after the holder acquired the
+	// lock again may have been sent before that acquire. Releases sent before and after the acquire look the same, because the holder keeps
+	// its fencing token. A release within the window therefore has no effect, and the lock becomes free when its lease expires.
+	// Freeing a lock on which the holder still relies would be worse.
 	staleReleaseWindow = 1200 * time.Millisecond
 )
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -93,7 +93,7 @@
 	return Result{}
 }
 
-// releaseLock frees a lock. It returns StatusOK whether or not the caller holds the lock, so that callers can repeat a release.
+// releaseLock frees a lock. releaseLock returns StatusOK whether or not the caller holds the lock, so that callers can repeat a release.
 func (s *State) releaseLock(c *Call) Result {
 	l := s.locks[c.Name]
 	if l == nil || !s.isLeaseHolder(l, c) || s.mayBeStaleRelease(l) {
@@ -114,7 +114,8 @@
 	return l.holder == c.Holder && (l.fencingToken == c.FencingToken || s.knobs.AcceptAnyFencingToken)
 }
 
-// recordRetiredCall records an acquire of which late copies must be rejected. It removes records that are older than retiredCallRetention.
+// recordRetiredCall records an acquire of which late copies must be rejected. recordRetiredCall removes records that are older than
+// retiredCallRetention.
 func (s *State) recordRetiredCall(id CallID) {
 	outdated := 0
 	for outdated < len(s.retiredCalls) && s.logTime-s.retiredCalls[outdated].retiredAt > retiredCallRetention {
@@ -141,7 +142,7 @@
 	return l != nil && l.holder != holder && max(at, s.logTime) < l.expiresAt
 }
 
-// listLocks returns the locks that are held at a log time, sorted by name. It omits the locks for whose name include returns false.
+// listLocks returns the locks that are held at a log time, sorted by name. listLocks omits the locks for whose name include returns false.
 func (s *State) listLocks(at time.Duration, include func(name string) bool) (list []LockInfo) {
 	for _, name := range slices.Sorted(maps.Keys(s.locks)) {
 		if l := s.locks[name]; include(name) && l.expiresAt > at {
--- a/internal/gateway/coordination/message.go
+++ b/internal/gateway/coordination/message.go
@@ -15,8 +15,8 @@
 	OriginIncarnation uint64 // incarnation of the node that received the call from the application
 	Sequence          uint32 // sequence number of the call at that node
 	Attempt           uint8  // number of the attempt, starting at 0
-	// TargetIncarnation is the incarnation of the receiver. It is 0 if the sender does not know the incarnation. The receiver then answers
-	// AttemptDeadlineInvalid, and the response carries the receiver's incarnation and clock.
+	// TargetIncarnation is the incarnation of the receiver. TargetIncarnation is 0 if the sender does not know the incarnation. The
+	// receiver then answers AttemptDeadlineInvalid, and the response carries the receiver's incarnation and clock.
 	TargetIncarnation uint64
 	Deadline          time.Duration // time of the receiver's monotonic clock
 	Call              Call
@@ -34,7 +34,7 @@
 	Result               Result        // set with AttemptDone
 }
 
-// AttemptOutcome is the outcome of one attempt. Its numbers are sent between nodes, so they must not change.
+// AttemptOutcome is the outcome of one attempt. The numbers of the outcomes are sent between nodes, so these numbers must not change.
 type AttemptOutcome uint8
 
 // The outcomes of an attempt.
--- a/internal/gateway/coordination/service.go
+++ b/internal/gateway/coordination/service.go
@@ -8,7 +8,7 @@
 
 // Env is the interface through which a service uses its node.
 type Env interface {
-	// Send passes a message to the link to another node. It returns false if there is no link. The message then never arrives. If Send
+	// Send passes a message to the link to another node. Send returns false if there is no link. The message then never arrives. If Send
 	// returns true, the message may still be lost or late.
 	Send(to string, m *Message) bool
 	// ScheduleAt sets a timer for a sequence number. The timer expires at the time at, by the clock of groups.Host.Now. When the timer
@@ -30,7 +30,7 @@
 }
 
 // Service receives calls at a node, forwards them to the leaders of their groups, and serves the calls of the groups that this node leads.
-// It implements groups.Application and eventloop.Alarm. The node calls all methods in turns, which means by one goroutine at a time.
+// Service implements groups.Application and eventloop.Alarm. The node calls all methods in turns, which means by one goroutine at a time.
 type Service struct {
 	host             groups.Host
 	env              Env
@@ -61,10 +61,10 @@
 	}
 }
 
-// SetHost sets the host of the replicated groups. It is separate from New because creating the host requires the service.
+// SetHost sets the host of the replicated groups. SetHost is separate from New because creating the host requires the service.
 func (s *Service) SetHost(host groups.Host) { s.host = host }
 
-// Submit handles an application's call. It calls done exactly once, within callTimeout, or for a watch within the watch's timeout plus
+// Submit handles an application's call. Submit calls done exactly once, within callTimeout, or for a watch within the watch's timeout plus
 // callTimeout.
 func (s *Service) Submit(c Call, done func(Result)) {
 	s.counters.Calls[c.Operation]++
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// State is the state machine of a group. It holds the group's locks, numbers and keys, and implements groups.StateMachine. Its contents
-// depend only on the applied entries.
+// State is the state machine of a group. State holds the group's locks, numbers and keys, and implements groups.StateMachine. The contents
+// of State depend only on the applied entries.
 type State struct {
 	contents
 	historyRetention  time.Duration // how long after an event was received a watch may resume from it
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -85,8 +85,8 @@
 	s.answerExpiredWatch(w)
 }
 
-// answerExpiredWatch answers a watch whose timeout has passed. It waits until a majority has confirmed the leadership, because the state of a
-// former leader may lack events.
+// answerExpiredWatch answers a watch whose timeout has passed. answerExpiredWatch waits until a majority has confirmed the leadership,
+// because the state of a former leader may lack events.
 func (s *Service) answerExpiredWatch(w *parkedWatch) {
 	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
 		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -116,7 +116,7 @@
 	return state, nil
 }
 
-// readSnapshot reads the snapshot of the log. It returns the zero Snapshot for the log of a disk that does not belong to a
+// readSnapshot reads the snapshot of the log. readSnapshot returns the zero Snapshot for the log of a disk that does not belong to a
 // cluster yet.
 func (l logBuckets) readSnapshot() (replication.Snapshot, error) {
 	value := l.snapshot.Get(snapshotKey)
@@ -144,8 +144,8 @@
 	return entries, err
 }
 
-// writeSnapshotAndEntries stores the snapshot and the entries of a write, and deletes the entries that the write removes. It does not write
-// the head.
+// writeSnapshotAndEntries stores the snapshot and the entries of a write, and deletes the entries that the write removes.
+// writeSnapshotAndEntries does not write the head.
 func (l logBuckets) writeSnapshotAndEntries(w *replication.Write) error {
 	if w.Snapshot != nil {
 		if err := putGob(l.snapshot, snapshotKey, newStoredSnapshot(w.Snapshot)); err != nil {
--- a/internal/gateway/logstore/errors.go
+++ b/internal/gateway/logstore/errors.go
@@ -34,7 +34,7 @@
 // Unwrap returns the error of the failed operation.
 func (f *FileError) Unwrap() error { return f.Err }
 
-// wrapFileError returns a FileError that wraps err. It returns nil if err is nil.
+// wrapFileError returns a FileError that wraps err. wrapFileError returns nil if err is nil.
 func wrapFileError(operation, path string, err error) error {
 	if err == nil {
 		return nil
--- a/internal/gateway/logstore/file.go
+++ b/internal/gateway/logstore/file.go
@@ -63,7 +63,7 @@
 // node knows the member ID of an empty file.
 func (c *contents) isEmpty() bool { return c.configuration.ID == 0 }
 
-// readFile reads the content of a file. It returns empty contents for a file that does not exist or has no bytes. It returns a
+// readFile reads the content of a file. readFile returns empty contents for a file that does not exist or has no bytes. readFile returns a
 // CorruptError if the content cannot be read, and a FileError if the file cannot be accessed or is locked.
 func readFile(path string) (contents, error) {
 	info, err := os.Stat(path)
@@ -113,7 +113,7 @@
 	return c, err
 }
 
-// readContents reads and validates all logs of a file. It returns empty contents for a file without buckets.
+// readContents reads and validates all logs of a file. readContents returns empty contents for a file without buckets.
 func readContents(db *bbolt.DB) (c contents, err error) {
 	return c, db.View(func(tx *bbolt.Tx) error {
 		configuration := lookupBuckets(tx, replication.ConfigurationLog)
@@ -178,7 +178,7 @@
 	return removeFiles(osFilesystem{}, dir, FileName, formerFileName)
 }
 
-// removeFiles removes the named files from a directory and syncs the directory. It ignores files that do not exist.
+// removeFiles removes the named files from a directory and syncs the directory. removeFiles ignores files that do not exist.
 func removeFiles(fs filesystem, dir string, names ...string) error {
 	for _, name := range names {
 		path := filepath.Join(dir, name)
@@ -189,7 +189,8 @@
 	return wrapFileError("sync", dir, fs.Sync(dir))
 }
 
-// runRecoveringPanics runs do and returns the error of do. It returns an error too if do panics or causes a memory fault in a mapping.
+// runRecoveringPanics runs do and returns the error of do. runRecoveringPanics returns an error too if do panics or causes a memory fault
+// in a mapping.
 func runRecoveringPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/gateway/logstore/filename.go
+++ b/internal/gateway/logstore/filename.go
@@ -64,7 +64,7 @@
 	return errA == nil && errB == nil && os.SameFile(infoA, infoB)
 }
 
-// haveSameBytes reports whether two files have the same content. It returns false if one of them cannot be read.
+// haveSameBytes reports whether two files have the same content. haveSameBytes returns false if one of them cannot be read.
 func haveSameBytes(a, b string) bool {
 	bytesA, errA := os.ReadFile(a)
 	bytesB, errB := os.ReadFile(b)
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -21,7 +21,8 @@
 // errCrash is the panic value that simulates a crash of the process.
 var errCrash = errors.New("simulated crash of the process")
 
-// recordStep records a step and returns the error that is injected into the step, or nil. It panics with errCrash at the step crashAt.
+// recordStep records a step and returns the error that is injected into the step, or nil. recordStep panics with errCrash at the step
+// crashAt.
 func (f *faultyFilesystem) recordStep(name string) error {
 	f.steps = append(f.steps, name)
 	if len(f.steps) == f.crashAt {
@@ -64,8 +65,8 @@
 	return f.osFilesystem.Remove(name)
 }
 
-// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. It returns false if Open
-// finished before that step.
+// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. openAndCrash returns false if
+// Open finished before that step.
 func (f *faultyFilesystem) openAndCrash(t *testing.T, dir string) (crashed bool) {
 	t.Helper()
 	defer func() {
--- a/internal/gateway/logstore/recorded_test.go
+++ b/internal/gateway/logstore/recorded_test.go
@@ -60,7 +60,8 @@
 	return dir
 }
 
-// leaderHost is a groups.Host that leads all groups, confirms every read and applies each proposal immediately. Its clock always returns 0.
+// leaderHost is a groups.Host that leads all groups, confirms every read and applies each proposal immediately. Now always
+// returns 0.
 type leaderHost struct {
 	groups.Host
 	machines [groups.Count]groups.StateMachine
--- a/internal/gateway/logstore/store.go
+++ b/internal/gateway/logstore/store.go
@@ -74,19 +74,19 @@
 	return id, nil
 }
 
-// HasFile reports whether the store has a file. It returns false if Open found no file and the disk was too full to create one. It returns true
-// as soon as a later Write or SaveSoftState has created the file.
+// HasFile reports whether the store has a file. HasFile returns false if Open found no file and the disk was too full to create one.
+// HasFile returns true as soon as a later Write or SaveSoftState has created the file.
 func (s *Store) HasFile() bool { return s.file != nil }
 
-// RenameError returns the error that occurred when Open replaced the former name of the file. It returns nil if the file has only its present
-// name and the rename is durable. The store uses the file in either case, and the next Open tries to rename the file again.
+// RenameError returns the error that occurred when Open replaced the former name of the file. RenameError returns nil if the file has only
+// its present name and the rename is durable. The store uses the file in either case, and the next Open tries to rename the file again.
 func (s *Store) RenameError() error { return s.renameErr }
 
 // GroupLogs returns the logs, other than the configuration's, that the file held when it was opened.
 func (s *Store) GroupLogs() map[replication.LogID]replication.PersistentState { return s.groupLogs }
 
-// ensureFileExists creates the file of a store that has no file yet. It first removes the incomplete file of an earlier attempt. The removal is
-// safe, because no write to an incomplete file was ever confirmed.
+// ensureFileExists creates the file of a store that has no file yet. ensureFileExists first removes the incomplete file of an earlier
+// attempt. The removal is safe, because no write to an incomplete file was ever confirmed.
 func (s *Store) ensureFileExists() error {
 	if s.file != nil {
 		return nil
@@ -118,7 +118,8 @@
 	}))
 }
 
-// commitWrites runs the transaction of a Write. It stores the snapshots and entries in the order of the writes, and then one head for each log.
+// commitWrites runs the transaction of a Write. commitWrites stores the snapshots and entries in the order of the writes, and then one head
+// for each log.
 func (s *Store) commitWrites(writes []replication.LogWrite, heads map[replication.LogID]storedHead) error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		for i := range writes {
@@ -153,7 +154,7 @@
 	})
 }
 
-// SaveSoftState stores the soft state (see the package comment). It replaces the previous soft state.
+// SaveSoftState stores the soft state (see the package comment). SaveSoftState replaces the previous soft state.
 func (s *Store) SaveSoftState(value []byte) error {
 	if err := s.ensureFileExists(); err != nil {
 		return err
@@ -165,7 +166,7 @@
 	}))
 }
 
-// SoftState returns the value of the last SaveSoftState. It returns nil if no value was saved or the value cannot be read.
+// SoftState returns the value of the last SaveSoftState. SoftState returns nil if no value was saved or the value cannot be read.
 func (s *Store) SoftState() (value []byte) {
 	if s.file == nil {
 		return nil
@@ -181,7 +182,7 @@
 	return value
 }
 
-// Close closes the file. It does nothing if the store has no file.
+// Close closes the file. Close does nothing if the store has no file.
 func (s *Store) Close() error {
 	if s.file == nil {
 		return nil
--- a/internal/gateway/logstore/stored.go
+++ b/internal/gateway/logstore/stored.go
@@ -69,7 +69,7 @@
 	return replication.Entry{Index: s.Index, Term: s.View, Kind: s.Kind, Data: s.Data, Members: toMembers(s.Members)}
 }
 
-// newStoredMembers returns the stored form of members. It returns nil if there are no members, as in most entries.
+// newStoredMembers returns the stored form of members. newStoredMembers returns nil if there are no members, as in most entries.
 func newStoredMembers(members []replication.Member) (stored []storedMember) {
 	for _, m := range members {
 		stored = append(stored, storedMember{ID: m.ID, Addr: m.Addr})
--- a/internal/gateway/logstore/versions_test.go
+++ b/internal/gateway/logstore/versions_test.go
@@ -18,7 +18,7 @@
 	"clovergap/internal/gateway/statemachine"
 )
 
-// The previous version of the program wrote testdata/before.db.gz (2 December 2026, before the renaming of identifiers). It is the file of one
+// The previous version of the program wrote testdata/before.db.gz (2 December 2026, before the renaming of identifiers). The file belongs to one
 // member of a cluster of three nodes. The cluster had received a configuration, 70 amendments of the configuration, and a rollout with nine
 // backends.
 
