--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -13,12 +13,12 @@
 
 const ms = time.Millisecond
 
-// testHistoryRetention is short, so that simulations last beyond it.
+// testHistoryRetention is shorter than the simulations, so that the simulations test the compaction of the history.
 const testHistoryRetention = 4 * time.Second
 
-// cluster is a set of nodes over a fault-free model of the replicated groups. Each group has one log, and an entry is either in it or not.
-// The faults concern which node believes that it leads a group, what a leader knows of its proposals, messages between nodes, clocks,
-// suspended processes and restarts.
+// cluster is a set of simulated nodes over a fault-free model of the replicated groups. Each group has one log of committed entries. Faults
+// affect which node believes that it leads a group, whether a leader learns the outcomes of its proposals, the messages between nodes, the
+// clocks, and the processes of nodes, which can be suspended or restarted.
 type cluster struct {
 	rng   *rand.Rand
 	now   time.Duration
@@ -37,9 +37,9 @@
 
 // event is an action that is scheduled for a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
-	time     time.Duration
-	sequence int
-	action   func()
+	scheduledAt time.Duration
+	sequence    int
+	action      func()
 }
 
 type eventQueue struct {
@@ -50,7 +50,7 @@
 func (e *eventQueue) Len() int { return len(e.events) }
 func (e *eventQueue) Less(i, j int) bool {
 	a, b := e.events[i], e.events[j]
-	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
+	return a.scheduledAt < b.scheduledAt || a.scheduledAt == b.scheduledAt && a.sequence < b.sequence
 }
 func (e *eventQueue) Swap(i, j int) { e.events[i], e.events[j] = e.events[j], e.events[i] }
 func (e *eventQueue) Push(x any)    { e.events = append(e.events, x.(event)) }
@@ -60,17 +60,17 @@
 	return last
 }
 
-// schedule runs an action after a delay, at once if the delay is negative.
-func (c *cluster) schedule(delay time.Duration, action func()) {
+// scheduleEvent adds an event that runs an action after a delay. A negative delay counts as 0.
+func (c *cluster) scheduleEvent(delay time.Duration, action func()) {
 	c.queue.lastSequence++
 	heap.Push(&c.queue, event{c.now + max(delay, 0), c.queue.lastSequence, action})
 }
 
-// runUntil runs all events up to and including a time.
+// runUntil runs all events up to and including the time until.
 func (c *cluster) runUntil(until time.Duration) {
-	for len(c.queue.events) > 0 && c.queue.events[0].time <= until {
+	for len(c.queue.events) > 0 && c.queue.events[0].scheduledAt <= until {
 		e := heap.Pop(&c.queue).(event)
-		c.now = e.time
+		c.now = e.scheduledAt
 		e.action()
 	}
 	c.now = until
@@ -81,7 +81,7 @@
 	return from + time.Duration(c.rng.Int64N(int64(to-from)+1))
 }
 
-// node is a node with its service. It implements groups.Host and coordination.Env for the service.
+// node is a node with its service. node implements groups.Host and coordination.Env for the service.
 type node struct {
 	cluster      *cluster
 	index        int
@@ -90,16 +90,16 @@
 	service      *coordination.Service
 	states       [groups.Count]groups.StateMachine
 	applied      [groups.Count]int
-	leaderTerm   [groups.Count]uint64 // the term in which it believes that it leads, or 0
+	leaderTerm   [groups.Count]uint64 // term in which the node believes that it leads the group, or 0
 	leaderSince  [groups.Count]time.Duration
-	knownLeader  [groups.Count]string // addresses
+	knownLeader  [groups.Count]string // address of the leader that the node knows, or empty
 	proposals    [groups.Count][]*proposal
-	committed    map[*byte]*proposal // committed proposals that are not applied here yet, by the first byte of their entry
-	frozen       bool
+	committed    map[*byte]*proposal // committed proposals that this node has not applied yet, by the first byte of their entry
+	suspended    bool
 	inputDelay   time.Duration
-	backlog      []func()                 // turns that wait while the node is frozen
+	queuedTurns  []func()                 // turns that wait while the node is suspended
 	isolated     bool                     // the node has no quorum contact
-	delayedUntil map[string]time.Duration // earliest arrival time of messages, by receiver
+	delayedUntil map[string]time.Duration // earliest time at which messages arrive, by receiver
 	brokenLinks  map[string]bool
 	// lastArrival is the arrival time of the newest message, by receiver. Links deliver messages in order.
 	lastArrival map[string]time.Duration
@@ -119,17 +119,17 @@
 	for index := range nodes {
 		c.nodes = append(c.nodes, &node{cluster: c, index: index, delayedUntil: map[string]time.Duration{}, brokenLinks: map[string]bool{},
 			lastArrival: map[string]time.Duration{}})
-		c.nodes[index].start()
+		c.nodes[index].startIncarnation()
 	}
 	for id := range groups.ID(groups.Count) {
-		c.makeLeader(id, c.nodes[int(id)%nodes])
+		c.electLeader(id, c.nodes[int(id)%nodes])
 	}
-	c.announceLeaders()
+	c.notifyNodesPeriodically()
 	return c
 }
 
-// start begins a new incarnation of a node. The node applies the logs from their start.
-func (n *node) start() {
+// startIncarnation starts a new incarnation of the node. The new incarnation applies the logs from their first entry.
+func (n *node) startIncarnation() {
 	n.incarnation = n.cluster.rng.Uint64() | 1
 	n.startedAt = n.cluster.now - n.cluster.randomDuration(0, time.Hour)
 	n.service = coordination.New(n, coordination.Config{
@@ -139,87 +139,88 @@
 		TestingKnobs:     n.cluster.knobs,
 	})
 	n.service.SetHost(n)
-	n.frozen, n.backlog, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
+	n.suspended, n.queuedTurns, n.isolated, n.committed = false, nil, false, map[*byte]*proposal{}
 	for id := range groups.ID(groups.Count) {
 		n.states[id] = n.service.StateMachine(id)
 		n.applied[id], n.leaderTerm[id], n.proposals[id], n.knownLeader[id] = 0, 0, nil, ""
 	}
 }
 
-// restart ends the node's incarnation with all its pending calls, and begins a new one.
+// restart ends the node's incarnation with all pending calls, and starts a new incarnation.
 func (n *node) restart() {
 	for id := range groups.ID(groups.Count) {
 		if n.cluster.logs[id].leader == n {
-			n.cluster.makeLeader(id, n.cluster.randomOtherNode(n))
+			n.cluster.electLeader(id, n.cluster.randomOtherNode(n))
 		}
 	}
-	n.start()
+	n.startIncarnation()
 }
 
 func (c *cluster) randomOtherNode(excluded *node) *node {
 	for {
-		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != excluded && !n.frozen {
+		if n := c.nodes[c.rng.IntN(len(c.nodes))]; n != excluded && !n.suspended {
 			return n
 		}
 	}
 }
 
-// runTurn runs a turn of the node, or queues it while the node is frozen.
+// runTurn runs a turn of the node, or queues it while the node is suspended.
 func (n *node) runTurn(turn func()) {
-	if n.frozen {
-		n.backlog = append(n.backlog, turn)
+	if n.suspended {
+		n.queuedTurns = append(n.queuedTurns, turn)
 		return
 	}
 	turn()
 	n.service.NotifyWatchers()
 }
 
-// scheduleTurn schedules a turn, which is skipped if the node has restarted by then.
+// scheduleTurn schedules a turn of the node after a delay. The turn is skipped if the node has restarted by then.
 func (n *node) scheduleTurn(delay time.Duration, turn func()) {
 	incarnation := n.incarnation
-	n.cluster.schedule(delay, func() {
+	n.cluster.scheduleEvent(delay, func() {
 		if n.incarnation == incarnation {
 			n.runTurn(turn)
 		}
 	})
 }
 
-// freeze stops the node's process for a duration.
-func (n *node) freeze(duration time.Duration) {
+// suspend suspends the node's process for a duration. Turns are queued meanwhile and run afterwards.
+func (n *node) suspend(duration time.Duration) {
 	incarnation := n.incarnation
-	n.frozen = true
-	n.cluster.schedule(duration, func() {
+	n.suspended = true
+	n.cluster.scheduleEvent(duration, func() {
 		if n.incarnation != incarnation {
 			return
 		}
-		n.frozen, n.inputDelay = false, duration
-		n.cluster.schedule(20*ms, func() { n.inputDelay = 0 })
-		backlog := n.backlog
-		n.backlog = nil
+		n.suspended, n.inputDelay = false, duration
+		n.cluster.scheduleEvent(20*ms, func() { n.inputDelay = 0 })
+		backlog := n.queuedTurns
+		n.queuedTurns = nil
 		for _, turn := range backlog {
 			n.runTurn(turn)
 		}
 	})
 }
 
-// announceLeaders periodically notifies nodes of a group's leader and lets them apply committed entries.
-func (c *cluster) announceLeaders() {
+// notifyNodesPeriodically schedules a turn of each node every 20 ms. In the turn, the node applies the committed entries of a random group.
+// In the same turn, the node learns the group's leader, unless the node is isolated.
+func (c *cluster) notifyNodesPeriodically() {
 	for _, n := range c.nodes {
 		n.scheduleTurn(c.randomDuration(0, 100*ms), func() {
 			id := groups.ID(c.rng.IntN(groups.Count))
-			n.catchUp(id)
+			n.applyCommitted(id)
 			if !n.isolated {
 				n.knownLeader[id] = nodeAddress(c.logs[id].leader.index)
 				n.service.LeaderChanged(id)
 			}
 		})
 	}
-	c.schedule(20*ms, c.announceLeaders)
+	c.scheduleEvent(20*ms, c.notifyNodesPeriodically)
 }
 
-// catchUp applies the committed entries that the node lacks. A node that lacks more than 5 entries is sometimes given the snapshot of a
-// node that has applied more.
-func (n *node) catchUp(id groups.ID) {
+// applyCommitted applies the committed entries that the node lacks. A node that lacks more than 5 entries sometimes restores the snapshot of a
+// node that has applied more entries.
+func (n *node) applyCommitted(id groups.ID) {
 	entries := n.cluster.logs[id].entries
 	if len(entries)-n.applied[id] > 5 && n.cluster.rng.IntN(2) == 0 {
 		for _, peer := range n.cluster.nodes {
@@ -242,7 +243,7 @@
 	}
 }
 
-// completeProposal completes the proposal of an entry, if this node proposed it.
+// completeProposal calls the callback of the proposal of an entry, if this node proposed the entry.
 func (n *node) completeProposal(entry []byte, outcome groups.Outcome, result []byte) {
 	if p := n.committed[&entry[0]]; p != nil {
 		delete(n.committed, &entry[0])
@@ -250,11 +251,11 @@
 	}
 }
 
-// makeLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
-// learns later that it no longer leads.
-func (c *cluster) makeLeader(id groups.ID, n *node) {
+// electLeader makes a node the leader of a group. A random prefix of the former leader's open proposals is committed. The former leader
+// learns up to 900 ms later that its leadership has ended. A suspended node is not elected.
+func (c *cluster) electLeader(id groups.ID, n *node) {
 	l := &c.logs[id]
-	if l.leader == n || n.frozen {
+	if l.leader == n || n.suspended {
 		return
 	}
 	if oldLeader := l.leader; oldLeader != nil {
@@ -267,24 +268,24 @@
 				l.entries = append(l.entries, p.entry)
 			}
 		}
-		c.schedule(c.randomDuration(0, 900*ms), func() {
+		c.scheduleEvent(c.randomDuration(0, 900*ms), func() {
 			if oldLeader.incarnation == incarnation {
-				oldLeader.runTurn(func() { oldLeader.loseLeadership(id, term) })
+				oldLeader.runTurn(func() { oldLeader.endLeadership(id, term) })
 			}
 		})
 	}
 	l.leader = n
 	l.term++
 	n.runTurn(func() {
-		n.loseLeadership(id, l.term-1)
-		n.catchUp(id)
+		n.endLeadership(id, l.term-1)
+		n.applyCommitted(id)
 		n.leaderTerm[id], n.leaderSince[id], n.knownLeader[id] = l.term, n.Now(), nodeAddress(n.index)
 		n.service.LeadershipGained(id, l.term)
 	})
 }
 
-// loseLeadership ends the node's leadership. Its open proposals end with groups.Ambiguous.
-func (n *node) loseLeadership(id groups.ID, term uint64) {
+// endLeadership ends the node's leadership of a group in a term. The node's open proposals end with groups.Ambiguous.
+func (n *node) endLeadership(id groups.ID, term uint64) {
 	if n.leaderTerm[id] != term || term == 0 {
 		return
 	}
@@ -300,7 +301,7 @@
 	n.service.LeadershipLost(id, term)
 }
 
-// Propose and the methods up to Now implement groups.Host.
+// Propose and the following methods up to Now implement groups.Host.
 func (n *node) Propose(id groups.ID, entry []byte, done func(groups.Outcome, []byte)) {
 	if n.leaderTerm[id] == 0 {
 		done(groups.NotProposed, nil)
@@ -308,11 +309,11 @@
 	}
 	p := &proposal{entry: entry, term: n.leaderTerm[id], callback: done}
 	n.proposals[id] = append(n.proposals[id], p)
-	n.cluster.schedule(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commit(id) })
+	n.cluster.scheduleEvent(n.cluster.randomDuration(2*ms, 12*ms), func() { n.commitFirstProposal(id) })
 }
 
-// commit commits the node's first open proposal, if the node still leads the group in the proposal's term.
-func (n *node) commit(id groups.ID) {
+// commitFirstProposal commits the node's first open proposal, if the node still leads the group in the proposal's term.
+func (n *node) commitFirstProposal(id groups.ID) {
 	l := &n.cluster.logs[id]
 	for _, p := range n.proposals[id] {
 		if p.ended || p.entry == nil || p.term != l.term || l.leader != n {
@@ -322,7 +323,7 @@
 		n.proposals[id] = slices.DeleteFunc(n.proposals[id], func(x *proposal) bool { return x == p })
 		l.entries = append(l.entries, p.entry)
 		n.committed[&p.entry[0]] = p
-		n.scheduleTurn(0, func() { n.catchUp(id) })
+		n.scheduleTurn(0, func() { n.applyCommitted(id) })
 		return
 	}
 }
@@ -372,7 +373,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.cluster.schedule(arrives-n.cluster.now, func() {
+	n.cluster.scheduleEvent(arrives-n.cluster.now, func() {
 		if peer.incarnation == incarnation {
 			peer.runTurn(func() { peer.service.Receive(from, decoded) })
 		}
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -14,8 +14,8 @@
 	"clovergap/internal/invariant"
 )
 
-// The explorer tries all orders of a few calls on one lock by two callers. A call may be abandoned by its caller, be forwarded twice and
-// arrive late. Time advances in steps, and another node may become leader.
+// The explorer tries all orders of up to five calls on one lock by two callers. A caller may abandon its call. A call may be forwarded twice
+// and may arrive late. Time advances in steps, and another node may become leader.
 
 const (
 	exploreLock         = "l0"
@@ -42,7 +42,7 @@
 
 // exploreCaller is a caller that uses the lock.
 type exploreCaller struct {
-	awaitedCall  int // number, from 1, of the call whose answer the caller awaits, or 0
+	awaitedCall  int // number, from 1, of the call whose answer the caller awaits; 0 if there is none
 	hasLock      bool
 	expiresAt    time.Duration
 	fencingToken uint64
@@ -54,12 +54,13 @@
 	operation    coordination.Operation
 	fencingToken uint64
 	sent         time.Duration
-	inFlight     int  // number of copies that have not been delivered
+	inFlight     int  // number of copies that are sent but not yet delivered
 	acknowledged bool // the caller received a successful answer
 	released     bool // the call is an acknowledged acquire whose lock was released later
 }
 
-// explorer runs a leader from each state that the exploration reaches. It implements groups.Host and coordination.Env.
+// explorer starts a service as leader in each state that the exploration reaches. explorer implements groups.Host and coordination.Env for
+// the service.
 type explorer struct {
 	t           *testing.T
 	knobs       coordination.TestingKnobs
@@ -68,7 +69,7 @@
 	response    *coordination.ForwardResponse
 	state       groups.StateMachine
 	depth       int
-	seen        map[exploreState]int // the smallest depth at which a state was visited
+	seen        map[exploreState]int // the smallest depth at which each state was visited
 	violation   string
 	trace       []string
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// deliver delivers a copy of a call to the leader and returns the state after it.
-func (e *explorer) deliver(state exploreState, number int) exploreState {
+// deliverCopy delivers a copy of a call to the leader and returns the state after the delivery.
+func (e *explorer) deliverCopy(state exploreState, number int) exploreState {
 	c := &state.calls[number]
 	c.inFlight--
 	s := e.newService()
@@ -115,28 +116,28 @@
 	e.state, e.now, e.response = s.StateMachine(id), state.now, nil
 	must.NoError(e.t, e.state.Restore([]byte(state.snapshot)))
 	s.BecomeLeaderAt(id, state.logTime)
-	locksBefore := e.state.(*coordination.State).HeldLocks()
+	locksBefore := e.state.(*coordination.State).FormatLocks()
 	s.Receive("node", &coordination.Message{Request: e.newRequest(c, number)})
 	snapshotBefore := state.snapshot
 	state.snapshot = string(e.state.Snapshot())
 	if state.now > c.sent+exploreCallTimeout && !bytes.Equal([]byte(snapshotBefore), []byte(state.snapshot)) {
-		e.report("a copy that arrived %v after its call was sent changed the state", state.now-c.sent)
+		e.recordViolation("a copy of a call that arrived %v after the call was sent changed the state", state.now-c.sent)
 	}
 	succeeded := e.response.Outcome == coordination.AttemptDone && e.response.Result.Status == coordination.StatusOK
-	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).HeldLocks() {
-		e.report("a late copy of an acquire took the lock after its release")
+	if succeeded && c.operation == coordination.LockAcquire && c.released && locksBefore != e.state.(*coordination.State).FormatLocks() {
+		e.recordViolation("a late copy of an acquire took the lock after the holder had released it")
 	}
 	if caller := &state.callers[c.caller]; caller.awaitedCall == number+1 {
 		caller.awaitedCall = 0
 		if succeeded {
-			e.applySuccess(&state, c, caller)
+			e.updateCallerOnSuccess(&state, c, caller)
 		}
 	}
 	return state
 }
 
-// applySuccess updates a caller's state after a successful answer.
-func (e *explorer) applySuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
+// updateCallerOnSuccess updates the caller and its calls in a state after the caller has received a successful answer to a call.
+func (e *explorer) updateCallerOnSuccess(state *exploreState, c *exploreCall, caller *exploreCaller) {
 	c.acknowledged = true
 	switch c.operation {
 	case coordination.LockAcquire:
@@ -159,21 +160,21 @@
 	}
 }
 
-func (e *explorer) report(format string, args ...any) {
+func (e *explorer) recordViolation(format string, args ...any) {
 	if e.violation == "" {
-		e.violation = fmt.Sprintf(format, args...) + " " + fmt.Sprint(e.trace)
+		e.violation = fmt.Sprintf(format, args...) + " after the steps " + fmt.Sprint(e.trace)
 	}
 }
 
-// visit explores all steps from a state.
-func (e *explorer) visit(state exploreState, depth int) {
+// exploreFrom checks a state that is depth steps from the initial state and explores all steps from the state.
+func (e *explorer) exploreFrom(state exploreState, depth int) {
 	if seenDepth, ok := e.seen[state]; e.violation != "" || ok && seenDepth <= depth {
 		return
 	}
 	e.seen[state] = depth
 	first, second := state.callers[0], state.callers[1]
 	if first.hasLock && second.hasLock && state.now < first.expiresAt && state.now < second.expiresAt {
-		e.report("both callers hold the lock")
+		e.recordViolation("both callers hold the lock at the same time")
 		return
 	}
 	if depth == e.depth {
@@ -181,7 +182,7 @@
 	}
 	step := func(format string, args []any, next exploreState) {
 		e.trace = append(e.trace, fmt.Sprintf(format, args...))
-		e.visit(next, depth+1)
+		e.exploreFrom(next, depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
 	}
 	for i := range state.callers {
@@ -191,7 +192,7 @@
 			continue
 		}
 		for _, operation := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
-			if next, ok := state.send(i, operation); ok {
+			if next, ok := state.stateAfterSend(i, operation); ok {
 				step("caller %d sends %v", []any{i, operation}, next)
 			}
 		}
@@ -201,7 +202,7 @@
 			continue
 		}
 		e.trace = append(e.trace, fmt.Sprintf("call %d arrives", number))
-		e.visit(e.deliver(state, number), depth+1)
+		e.exploreFrom(e.deliverCopy(state, number), depth+1)
 		e.trace = e.trace[:len(e.trace)-1]
 		if next := state; state.duplicates == 0 && state.calls[number].inFlight == 1 {
 			next.duplicates++
@@ -222,7 +223,7 @@
 	}
 }
 
-// newLeaderLogTime returns the log time at which a new leader starts after it restored a snapshot.
+// newLeaderLogTime returns the log time at which a new leader starts after the leader has restored a snapshot.
 func (e *explorer) newLeaderLogTime(snapshot string) time.Duration {
 	newLeader := &explorer{t: e.t, knobs: e.knobs, incarnation: 1}
 	s := newLeader.newService()
@@ -232,8 +233,8 @@
 	return s.LogTime(id)
 }
 
-// send returns the state after a caller sends a call, or false if the caller can't send it.
-func (e exploreState) send(callerIndex int, operation coordination.Operation) (exploreState, bool) {
+// stateAfterSend returns the state after a caller sends a call, or false if the caller can't send it.
+func (e exploreState) stateAfterSend(callerIndex int, operation coordination.Operation) (exploreState, bool) {
 	caller := &e.callers[callerIndex]
 	if e.callCount == exploreMaxCalls || operation != coordination.LockAcquire && !caller.hasLock {
 		return e, false
@@ -247,29 +248,30 @@
 	return e, true
 }
 
-func explore(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
+func exploreAllOrders(t *testing.T, depth int, knobs coordination.TestingKnobs) *explorer {
 	e := &explorer{t: t, knobs: knobs, incarnation: 1, depth: depth, seen: map[exploreState]int{}}
-	e.visit(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistoryRetention).Snapshot())}, 0)
+	e.exploreFrom(exploreState{now: time.Minute, snapshot: string(coordination.NewState(testHistoryRetention).Snapshot())}, 0)
 	return e
 }
 
-// In no order of calls do two callers hold the lock, does a late copy have an effect, or does a copy take a lock that was released.
+// In all orders of calls, at most one caller holds the lock, a copy of a call has no effect after the call's deadline, and a late copy of an
+// acquire does not take a lock that was released.
 func TestLockIsExclusiveInAllCallOrders(t *testing.T) {
 	start, depth := time.Now(), exploreDepth
 	if invariant.Debug { // each state takes ten times as long under the race detector
 		depth -= 2
 	}
-	e := explore(t, depth, coordination.TestingKnobs{})
+	e := exploreAllOrders(t, depth, coordination.TestingKnobs{})
 	must.Eq(t, "", e.violation)
-	t.Logf("%d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
+	t.Logf("explored %d states in %v", len(e.seen), time.Since(start).Round(time.Millisecond))
 }
 
-// The explorer detects the absence of each safeguard in explorerFaults, which the simulations detect only by chance.
+// The explorer detects each fault in explorerFaults. The simulations detect these faults only by chance.
 func TestExplorerDetectsFaults(t *testing.T) {
 	for name, knobs := range explorerFaults {
 		start := time.Now()
-		e := explore(t, exploreDepth, knobs)
-		t.Logf("%s: %d states in %v: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
+		e := exploreAllOrders(t, exploreDepth, knobs)
+		t.Logf("fault %q: explored %d states in %v, violation: %s", name, len(e.seen), time.Since(start).Round(time.Millisecond), e.violation)
 		test.NotEq(t, "", e.violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/faultdays_test.go
+++ b/internal/gateway/coordination/faultdays_test.go
@@ -15,8 +15,8 @@
 
 const simulationDuration = 25 * time.Second
 
-// Simulations with all faults at once violate no guarantee, and at their end every call is answered. COORDINATION_DAYS sets the number of
-// simulations.
+// Simulations in which all kinds of faults occur violate no guarantee and leave no call unanswered. The environment variable
+// COORDINATION_DAYS sets the number of simulations.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	runs := uint64(60)
 	if invariant.Debug {
@@ -28,13 +28,13 @@
 	calls := 0
 	for seed := range runs {
 		s := newSimulation(seed, coordination.TestingKnobs{})
-		for _, v := range s.run(simulationDuration) {
-			t.Errorf("seed %d: %v", seed, v)
+		for _, v := range s.runAndAudit(simulationDuration) {
+			t.Errorf("simulation with seed=%d violates a guarantee: %v", seed, v)
 		}
 		if seed%6 == 0 {
 			violations, undecided := callhistory.Linearizable(s.history, 5*time.Second)
 			for _, v := range violations {
-				t.Errorf("seed %d: %v", seed, v)
+				t.Errorf("history of the simulation with seed=%d is not linearizable: %v", seed, v)
 			}
 			test.SliceEmpty(t, undecided)
 		}
@@ -43,21 +43,20 @@
 			return
 		}
 	}
-	t.Logf("%d simulations, %d calls", runs, calls)
+	t.Logf("ran %d simulations with %d calls", runs, calls)
 }
 
-// The simulations detect the absence of each safeguard in simulationFaults. TestExplorerDetectsFaults covers the safeguards that matter
-// only in rare orders of calls.
+// The simulations detect each fault in simulationFaults. TestExplorerDetectsFaults covers the faults that show only in rare orders of calls.
 func TestSimulationDetectsFaults(t *testing.T) {
 	for name, knobs := range simulationFaults() {
 		start, violation := time.Now(), ""
 		seed := uint64(0)
 		for ; seed < 60 && violation == ""; seed++ {
-			if violations := newSimulation(seed, knobs).run(simulationDuration); len(violations) > 0 {
+			if violations := newSimulation(seed, knobs).runAndAudit(simulationDuration); len(violations) > 0 {
 				violation = violations[0].String()
 			}
 		}
-		t.Logf("%s: %d simulations in %v: %s", name, seed, time.Since(start).Round(time.Millisecond), violation)
+		t.Logf("fault %q: ran %d simulations in %v, violation: %s", name, seed, time.Since(start).Round(time.Millisecond), violation)
 		test.NotEq(t, "", violation, test.Sprint(name))
 	}
 }
--- a/internal/gateway/coordination/golden_test.go
+++ b/internal/gateway/coordination/golden_test.go
@@ -13,12 +13,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// The files testdata/dd5a45a.* hold bytes that the code of commit dd5a45a encoded. Each line is a name and the bytes in hexadecimal. Logs,
-// snapshots and nodes of that version use these encodings, so this version must decode them to the same values and encode the values to the
-// same bytes.
+// The files testdata/dd5a45a.* hold bytes that the code of commit dd5a45a encoded. Each line is a name, a tab and the bytes in hexadecimal.
+// Logs, snapshots and nodes of the version of that commit use these encodings. This version must therefore decode the bytes to the same values
+// and encode the values to the same bytes.
 
-// readRecorded reads a file of recorded bytes by name.
-func readRecorded(t *testing.T, name string) map[string][]byte {
+// readRecordedBytes returns the recorded bytes of one file in testdata by the names in that file.
+func readRecordedBytes(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	f, err := os.Open("testdata/dd5a45a." + name)
 	must.NoError(t, err)
@@ -36,7 +36,7 @@
 	return records
 }
 
-// goldenCalls returns calls of each operation with all fields that are sent.
+// goldenCalls returns at least one call of each operation, with all fields that are sent. The keys are names in the recorded files.
 func goldenCalls() map[string]Call {
 	return map[string]Call{
 		"lock begin":     {Operation: LockAcquire, Name: "l1", Holder: "worker-1", TTL: 2500 * time.Millisecond},
@@ -52,7 +52,8 @@
 	}
 }
 
-// goldenMessages returns a request for each operation, and a response with each outcome and with each status.
+// goldenMessages returns a request for each operation, and a response with each outcome and with each status. The keys are names in the
+// recorded files.
 func goldenMessages() map[string]Message {
 	messages := map[string]Message{}
 	for name, c := range goldenCalls() {
@@ -92,15 +93,15 @@
 	return messages
 }
 
-// goldenStatuses returns the statuses in order of the numbers that are sent and stored.
+// goldenStatuses returns all statuses in ascending order of the numbers that are sent and stored.
 func goldenStatuses() []Status {
 	return []Status{StatusOK, StatusLockHeld, StatusLockLost, StatusConflict, StatusNotFound, StatusCompacted, StatusLimitReached,
 		StatusUnavailable, StatusAmbiguous}
 }
 
-// Messages are decoded and encoded as recorded, so that nodes of the recorded version and of this one understand each other.
+// Messages are decoded and encoded as recorded, so that nodes of the recorded version and nodes of this version can exchange messages.
 func TestMessagesMatchRecordedBytes(t *testing.T) {
-	recordedMessages, want := readRecorded(t, "messages"), goldenMessages()
+	recordedMessages, want := readRecordedBytes(t, "messages"), goldenMessages()
 	must.MapLen(t, len(want), recordedMessages)
 	for name, m := range want {
 		got, err := DecodeMessage(recordedMessages[name])
@@ -110,7 +111,7 @@
 	}
 }
 
-// goldenLog returns log entries in order that change the state in each possible way.
+// goldenLog returns the entries of a log in order. Together the entries cause every kind of change to the state.
 func goldenLog() []entry {
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
 	incarnation := uint64(1<<63 + 5)
@@ -142,9 +143,9 @@
 	}
 }
 
-// Entries and their results are decoded and encoded as recorded, and applying the log of these entries leads to the recorded state.
+// Entries and their results are decoded and encoded as recorded, and applying the entries in order produces the recorded state.
 func TestLogMatchesRecordedBytes(t *testing.T) {
-	recordedEntries, recordedResults, want := readRecorded(t, "entries"), readRecorded(t, "results"), goldenLog()
+	recordedEntries, recordedResults, want := readRecordedBytes(t, "entries"), readRecordedBytes(t, "results"), goldenLog()
 	must.MapLen(t, len(want), recordedEntries)
 	must.MapLen(t, len(want), recordedResults)
 	statuses := []Status{
@@ -168,12 +169,12 @@
 		must.Eq(t, statuses[i], result.Status, must.Sprint(name))
 		must.Eq(t, recordedResults[name], encodeResult(result), must.Sprint(name))
 	}
-	must.Eq(t, readRecorded(t, "snapshot")["log"], s.Snapshot())
+	must.Eq(t, readRecordedBytes(t, "snapshot")["log"], s.Snapshot())
 }
 
 // A result with all fields that an entry can set is decoded and encoded as recorded.
 func TestResultMatchesRecordedBytes(t *testing.T) {
-	recordedBytes := readRecorded(t, "snapshot")["result"]
+	recordedBytes := readRecordedBytes(t, "snapshot")["result"]
 	result, err := decodeResult(recordedBytes)
 	must.NoError(t, err)
 	must.Eq(t, Result{Status: StatusConflict, FencingToken: 301, Number: 302, Revision: 303}, result)
@@ -200,7 +201,7 @@
 			"h.": {revision: 1 << 35, compactedRevision: 1 << 34, keys: map[string]keyValue{"h.a": {"z", 1 << 35}}},
 		},
 		bytes:        len("g.a") + len("x") + len("g.b") + len("\x00y") + len("h.a") + len("z") + 3*eventOverhead,
-		historyBytes: older.size() + newer.size(),
+		historyBytes: older.sizeInBytes() + newer.sizeInBytes(),
 		putRevisions: map[putDigest]uint64{firstDigest: 12, secondDigest: 1 << 35},
 		putOrder:     []putDigest{secondDigest, firstDigest},
 	}
@@ -209,7 +210,7 @@
 
 // A snapshot with all contents is restored and encoded as recorded, so that this version can restore stored snapshots.
 func TestSnapshotMatchesRecordedBytes(t *testing.T) {
-	recordedBytes, want, got := readRecorded(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
+	recordedBytes, want, got := readRecordedBytes(t, "snapshot")["state"], goldenState(), NewState(4*time.Second)
 	must.NoError(t, got.Restore(recordedBytes))
 	must.Eq(t, want.logTime, got.logTime)
 	must.Eq(t, want.lastFencingToken, got.lastFencingToken)
@@ -221,8 +222,8 @@
 	must.Eq(t, recordedBytes, got.Snapshot())
 }
 
-// Decoding errors distinguish data of an unknown version from truncated data.
-func TestDecodeRejectsUnknownVersion(t *testing.T) {
+// Decoding returns ErrUnknownVersion for data of an unknown version and ErrTruncated for truncated data.
+func TestDecodeDistinguishesUnknownVersionFromTruncation(t *testing.T) {
 	_, err := decodeEntry([]byte{2})
 	must.ErrorIs(t, err, ErrUnknownVersion)
 	_, err = DecodeMessage([]byte{3})
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -10,16 +10,16 @@
 type hostedGroup struct {
 	state    *State
 	isLeader bool
-	// The anchor of the log time. At anchoredAt, by this node's monotonic clock, the log time was at least anchorLogTime. A leader's log
-	// time advances from there.
+	// The anchor of the log time. At the time anchoredAt of this node's monotonic clock, the log time was at least anchorLogTime. A leader
+	// adds the time since anchoredAt to anchorLogTime.
 	anchorLogTime time.Duration
 	anchoredAt    time.Duration
 }
 
 // updateClockAnchor sets the anchor to the log time of the newest entry, at the current monotonic time. A follower that becomes leader thus
-// knows how far log time has advanced since that entry. A follower never keeps an anchor that is ahead of the log, because another leader
-// may have stamped entries by a clock that was behind, and leases based on those stamps must not end early. On a leader the function does
-// nothing, because the leader's log time advances by its own clock.
+// knows how far log time has advanced since that entry. A follower never keeps an anchor that is ahead of the log. Another leader may have
+// stamped entries with an earlier log time, and leases that start at those stamps must not end early. On a leader the function does nothing,
+// because the leader's log time advances by the leader's own clock.
 func (h *hostedGroup) updateClockAnchor(now time.Duration) {
 	if h.isLeader {
 		return
@@ -31,7 +31,7 @@
 	h.anchoredAt = now
 }
 
-// StateMachine creates and returns the state machine of a group. It is part of groups.Application.
+// StateMachine creates and returns the state machine of a group. StateMachine is part of groups.Application.
 func (s *Service) StateMachine(id groups.ID) groups.StateMachine {
 	state := NewState(s.config.HistoryRetention)
 	state.knobs = s.config.TestingKnobs
@@ -48,7 +48,7 @@
 	return state
 }
 
-// LeadershipGained handles this node's becoming the leader of a group. It is part of groups.Application.
+// LeadershipGained records that this node has become the leader of a group. LeadershipGained is part of groups.Application.
 func (s *Service) LeadershipGained(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = true
@@ -58,26 +58,26 @@
 	s.counters.LeadershipsGained++
 }
 
-// LeadershipLost handles the end of this node's leadership of a group. It rejects the watches that are parked here, so that their nodes
-// send them to the new leader. It is part of groups.Application.
+// LeadershipLost handles the end of this node's leadership of a group. LeadershipLost rejects the watches that are parked here. The nodes
+// that forwarded these watches then send them to the new leader. LeadershipLost is part of groups.Application.
 func (s *Service) LeadershipLost(id groups.ID, _ uint64) {
 	g := &s.hosted[id]
 	g.isLeader = false
 	g.updateClockAnchor(s.host.Now()) // another leader may have stamped entries before this node learned that its leadership had ended
 	s.counters.LeadershipsLost++
-	for _, w := range s.parkedWatchesIn(id) {
+	for _, w := range s.parkedWatchesOfGroup(id) {
 		s.unparkWatch(w)
 		w.reply(AttemptRejected, Result{})
 	}
 }
 
-// logTime returns the current log time of a group that this node leads.
-func (s *Service) logTime(id groups.ID) time.Duration {
+// currentLogTime returns the current log time of a group that this node leads.
+func (s *Service) currentLogTime(id groups.ID) time.Duration {
 	g := &s.hosted[id]
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
 }
 
-// isLeader reports whether this node leads a group, as far as it knows. Another node may already be the leader.
+// isLeader reports whether this node believes that it leads a group. Another node may already be the leader.
 func (s *Service) isLeader(id groups.ID) bool {
 	if s.hosted[id].state == nil || !s.hosted[id].isLeader {
 		return false
@@ -99,24 +99,24 @@
 	knobs := &s.config.TestingKnobs
 	switch c.Operation {
 	case LockAcquire:
-		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A leader
-		// that lost its leadership without knowing may answer StatusLockHeld wrongly. That is harmless, because the caller is granted
-		// nothing.
-		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.logTime(group)) {
+		// Callers that wait for a lock retry the acquire. While another caller holds the lock, such a retry appends no log entry. A node that
+		// does not know yet that it lost its leadership may wrongly answer StatusLockHeld. A wrong StatusLockHeld is harmless, because it
+		// grants nothing to the caller.
+		if s.hosted[group].state.isLockedByOther(c.Name, c.Holder, s.currentLogTime(group)) {
 			reply(AttemptDone, Result{Status: StatusLockHeld})
 			return
 		}
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case LockRenew, LockRelease, KeyPut:
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case NumberNext:
 		if knobs.NextNumber != nil {
 			reply(AttemptDone, Result{Number: knobs.NextNumber(s.config.Incarnation, c.Name)})
 			return
 		}
-		s.propose(group, c, id, reply)
+		s.proposeCall(group, c, id, reply)
 	case KeyRead, LockRead, LockList:
-		s.readLinearizable(group, knobs.ReadWithoutQuorum, reply, func() Result { return s.readState(group, c) })
+		s.readLinearizable(group, knobs.ReadWithoutQuorum, reply, func() Result { return s.executeRead(group, c) })
 	case KeyWatch:
 		s.serveWatch(group, c, reply)
 	default: // an operation of a newer version of the program
@@ -124,12 +124,12 @@
 	}
 }
 
-// propose proposes a call as an entry of its group's log, stamped with the current log time.
-func (s *Service) propose(group groups.ID, c *Call, id CallID, reply replyFunc) {
-	e := entry{call: *c, logTime: s.logTime(group), callID: id}
+// proposeCall proposes a call as an entry of its group's log, stamped with the current log time.
+func (s *Service) proposeCall(group groups.ID, c *Call, id CallID, reply replyFunc) {
+	e := entry{call: *c, logTime: s.currentLogTime(group), callID: id}
 	s.host.Propose(group, e.encode(), func(outcome groups.Outcome, encoded []byte) {
 		if outcome != groups.Applied {
-			reply(attemptOutcome(outcome), Result{})
+			reply(outcomeOfUnappliedProposal(outcome), Result{})
 			return
 		}
 		result, err := decodeResult(encoded)
@@ -141,16 +141,16 @@
 	})
 }
 
-// attemptOutcome returns the outcome of an attempt whose proposal was not applied.
-func attemptOutcome(o groups.Outcome) AttemptOutcome {
+// outcomeOfUnappliedProposal returns the outcome of an attempt whose proposal was not applied.
+func outcomeOfUnappliedProposal(o groups.Outcome) AttemptOutcome {
 	if o == groups.NotProposed {
 		return AttemptRejected
 	}
 	return AttemptAmbiguous
 }
 
-// readLinearizable replies with the result of read, once a majority has confirmed the leadership and all entries that were committed before
-// are applied. withoutQuorum is a testing knob that skips the confirmation.
+// readLinearizable replies with the result of read. readLinearizable calls read after a majority has confirmed the leadership and after all
+// entries that were committed before the confirmation began are applied. withoutQuorum is a testing knob that skips the confirmation.
 func (s *Service) readLinearizable(group groups.ID, withoutQuorum bool, reply replyFunc, read func() Result) {
 	if withoutQuorum {
 		reply(AttemptDone, read())
@@ -165,12 +165,12 @@
 	})
 }
 
-// readState returns the result of a call that changes no state.
-func (s *Service) readState(group groups.ID, c *Call) Result {
+// executeRead returns the result of a KeyRead, LockRead or LockList call from the node's current state.
+func (s *Service) executeRead(group groups.ID, c *Call) Result {
 	state := s.hosted[group].state
 	if c.Operation == KeyRead {
 		return state.readKey(c.Name)
 	}
 	include := func(name string) bool { return c.Operation == LockList || name == c.Name }
-	return Result{Locks: state.listLocks(s.logTime(group), include)}
+	return Result{Locks: state.listLocks(s.currentLogTime(group), include)}
 }
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// State is the state machine of a group. It holds the group's locks, numbers and keys, and implements groups.StateMachine. Its contents
-// depend only on the applied entries.
+// State is the state machine of a group. State holds the group's locks, numbers and keys, and implements groups.StateMachine. The contents
+// of State depend only on the applied entries.
 type State struct {
 	contents
-	historyRetention  time.Duration // how long a watch may take to resume
+	historyRetention  time.Duration // how long after an event was received a watch may resume from it
 	knobs             TestingKnobs
 	onKeyGroupChanged func(keyGroup string) // called after each put, and for each key group of a restored snapshot
-	onLogTimeAdvanced func()                // called for each entry and each restored snapshot
+	onLogTimeAdvanced func()                // called after an entry or a restored snapshot has set logTime
 }
 
 // contents is the part of the state that a snapshot holds.
 type contents struct {
 	logTime          time.Duration // log time of the newest entry
-	lastFencingToken uint64        // the newest token of all locks of the group
+	lastFencingToken uint64        // the newest token that was granted for any lock of the group
 	locks            map[string]*lockState
 	retiredCalls     []retiredCall // oldest first
 	numbers          map[string]uint64
@@ -26,7 +26,8 @@
 	return contents{locks: map[string]*lockState{}, numbers: map[string]uint64{}, keys: newKeyTable()}
 }
 
-// NewState returns the initial state of a group. A watch may resume from any revision that it received within historyRetention.
+// NewState returns the initial state of a group. A watch may resume from any revision that the caller received within
+// historyRetention.
 func NewState(historyRetention time.Duration) *State {
 	return &State{
 		contents:          newContents(),
@@ -36,31 +37,31 @@
 	}
 }
 
-// Apply applies the next entry of the log and returns its encoded result. An entry that can't be decoded changes nothing. Its result is
-// StatusAmbiguous, because a newer version of the program may know its effect.
+// Apply applies the next entry of the log and returns the encoded result. An entry that can't be decoded changes nothing. The result then has
+// StatusAmbiguous, because a newer version of the program may be able to apply the entry.
 func (s *State) Apply(_ uint64, bytes []byte) []byte {
 	e, err := decodeEntry(bytes)
 	if err != nil {
 		return encodeResult(Result{Status: StatusAmbiguous})
 	}
-	// A new leader may have stamped entries by a clock that was behind. Log time never goes back.
+	// The log time of a new leader may be behind the log time of an earlier leader's entries. Log time never goes back.
 	s.logTime = max(s.logTime, e.logTime)
 	s.onLogTimeAdvanced()
-	return encodeResult(s.apply(&e))
+	return encodeResult(s.applyEntry(&e))
 }
 
-func (s *State) apply(e *entry) Result {
+func (s *State) applyEntry(e *entry) Result {
 	switch e.call.Operation {
 	case LockAcquire:
-		return s.acquire(e)
+		return s.acquireLock(e)
 	case LockRenew:
-		return s.renew(&e.call)
+		return s.renewLease(&e.call)
 	case LockRelease:
-		return s.release(&e.call)
+		return s.releaseLock(&e.call)
 	case NumberNext:
 		return s.nextNumber(e.call.Name)
 	case KeyPut:
-		return s.put(&e.call)
+		return s.putKey(&e.call)
 	}
 	return Result{Status: StatusAmbiguous}
 }
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -18,8 +18,8 @@
 	reply         replyFunc
 }
 
-// serveWatch answers a watch as soon as there are events or the watch's timeout has passed. Events are committed, so returning them
-// requires no confirmation by a majority. An answer without events requires one, and so does the current revision.
+// serveWatch answers a watch as soon as there are events or the watch's timeout has passed. All events are committed, so an answer with
+// events requires no confirmation of the leadership. An answer without events, or with only the current revision, requires a confirmation.
 func (s *Service) serveWatch(group groups.ID, c *Call, reply replyFunc) {
 	state := s.hosted[group].state
 	if c.AfterRevision == 0 {
@@ -28,7 +28,7 @@
 		})
 		return
 	}
-	if result := state.eventsAfter(c.Name, c.AfterRevision); result.endsWatch() {
+	if result := state.eventsAfter(c.Name, c.AfterRevision); result.hasEventsOrError() {
 		reply(AttemptDone, result)
 		return
 	}
@@ -41,14 +41,14 @@
 		reply:         reply,
 	}
 	if c.Timeout <= 0 || len(s.parkedWatches) >= maxParkedWatches {
-		s.expireWatch(w)
+		s.answerExpiredWatch(w)
 		return
 	}
 	s.parkWatch(w)
 }
 
-// endsWatch reports whether a watch with this result ends, because the result has events or an error.
-func (r *Result) endsWatch() bool { return r.Status != StatusOK || len(r.Events) > 0 }
+// hasEventsOrError reports whether the result has events or a status other than StatusOK. A watch with such a result ends.
+func (r *Result) hasEventsOrError() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
 func (s *Service) parkWatch(w *parkedWatch) {
 	s.parkedWatches[w.sequence] = w
@@ -67,8 +67,8 @@
 	}
 }
 
-// parkedWatchesIn returns the parked watches of a group in order of sequence number.
-func (s *Service) parkedWatchesIn(id groups.ID) (list []*parkedWatch) {
+// parkedWatchesOfGroup returns the parked watches of a group in order of sequence number.
+func (s *Service) parkedWatchesOfGroup(id groups.ID) (list []*parkedWatch) {
 	for _, sequence := range sortedKeys(s.parkedWatches) {
 		if w := s.parkedWatches[sequence]; w.group == id {
 			list = append(list, w)
@@ -82,25 +82,26 @@
 		return
 	}
 	s.unparkWatch(w)
-	s.expireWatch(w)
+	s.answerExpiredWatch(w)
 }
 
-// expireWatch answers a watch whose timeout has passed, after a majority has confirmed that the watch has missed no events.
-func (s *Service) expireWatch(w *parkedWatch) {
+// answerExpiredWatch answers a watch whose timeout has passed. answerExpiredWatch waits until a majority has confirmed the leadership,
+// because the state of a former leader may lack events.
+func (s *Service) answerExpiredWatch(w *parkedWatch) {
 	s.readLinearizable(w.group, s.config.TestingKnobs.WatchWithoutQuorum, w.reply, func() Result {
 		return s.hosted[w.group].state.eventsAfter(w.keyGroup, w.afterRevision)
 	})
 }
 
-// NotifyWatchers answers the parked watches of key groups that were put. The node calls it at the end of each turn, so that one answer
-// holds all events of the turn.
+// NotifyWatchers answers the parked watches of the key groups that had a put. The node calls NotifyWatchers at the end of each turn, so that
+// one answer holds all events of the turn.
 func (s *Service) NotifyWatchers() {
 	for len(s.changedKeyGroups) > 0 {
 		keyGroup := s.changedKeyGroups[0]
 		s.changedKeyGroups = s.changedKeyGroups[1:]
 		for _, sequence := range sortedKeys(s.parkedByKeyGroup[keyGroup]) {
 			w := s.parkedWatches[sequence]
-			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.endsWatch() {
+			if result := s.hosted[w.group].state.eventsAfter(keyGroup, w.afterRevision); result.hasEventsOrError() {
 				s.unparkWatch(w)
 				w.reply(AttemptDone, result)
 			}
--- a/internal/gateway/logstore/buckets.go
+++ b/internal/gateway/logstore/buckets.go
@@ -10,21 +10,22 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// maxLogs is the exclusive upper bound of the IDs of the logs in a file.
+// maxLogs is the largest number of logs in a file. The ID of a log is less than maxLogs.
 const maxLogs = replication.LogID(64)
 
 // Keys in the buckets of a log.
 var (
 	headKey      = []byte("head")
 	snapshotKey  = []byte("snap")
-	softStateKey = []byte("note") // in the head bucket of the configuration's log
+	softStateKey = []byte("note") // the soft state; in the head bucket of the configuration's log
 )
 
 // bucketNames holds the names of the buckets of one log.
 type bucketNames struct{ head, snapshot, entries []byte }
 
 // bucketNamesOf returns the names of the buckets of a log. The snapshot of a group's log has its own bucket, so that a write of the head
-// does not rewrite the snapshot. The snapshot of the configuration's log stays in the bucket of its head, as in the first version.
+// does not rewrite the snapshot. The snapshot and the head of the configuration's log share one bucket, because the first version stored them
+// that way.
 func bucketNamesOf(id replication.LogID) bucketNames {
 	if id == replication.ConfigurationLog {
 		return bucketNames{head: []byte("book"), snapshot: []byte("book"), entries: []byte("log")}
@@ -47,7 +48,7 @@
 	return lookupNamedBuckets(tx, id, bucketNamesOf(id))
 }
 
-// lookupNamedBuckets returns the existing buckets of a log that has these bucket names.
+// lookupNamedBuckets returns the existing buckets with the given names as the buckets of a log.
 func lookupNamedBuckets(tx *bbolt.Tx, id replication.LogID, names bucketNames) logBuckets {
 	return logBuckets{id: id, names: names, head: tx.Bucket(names.head), snapshot: tx.Bucket(names.snapshot),
 		entries: tx.Bucket(names.entries)}
@@ -58,14 +59,16 @@
 	names := bucketNamesOf(id)
 	for _, name := range [][]byte{names.head, names.snapshot, names.entries} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-			return logBuckets{}, logError("create bucket", id, name, err)
+			return logBuckets{}, newLogError("create bucket", id, name, err)
 		}
 	}
 	return lookupNamedBuckets(tx, id, names), nil
 }
 
-// allMissing reports whether none of the log's buckets exists.
-func (l logBuckets) allMissing() bool { return l.head == nil && l.snapshot == nil && l.entries == nil }
+// areAllMissing reports whether none of the log's buckets exists.
+func (l logBuckets) areAllMissing() bool {
+	return l.head == nil && l.snapshot == nil && l.entries == nil
+}
 
 // firstMissingBucket returns the name of the first bucket that does not exist, or nil if all exist.
 func (l logBuckets) firstMissingBucket() []byte {
@@ -82,25 +85,25 @@
 
 func (l logBuckets) readHead() (h storedHead, err error) {
 	if err = decodeGob(l.head.Get(headKey), &h); err != nil {
-		return h, logError("read head", l.id, l.names.head, err)
+		return h, newLogError("read head", l.id, l.names.head, err)
 	}
 	return h, nil
 }
 
-// readLog reads a log and validates it. It returns ErrForeignDisk if the log was not written under wantMemberID. If wantMemberID is
-// 0, any member ID is accepted.
+// readLog reads and validates a log. The error wraps ErrForeignDisk if the log was not written under wantMemberID. If wantMemberID is 0,
+// readLog accepts any member ID.
 func (l logBuckets) readLog(wantMemberID replication.MemberID) (state replication.PersistentState, err error) {
 	if name := l.firstMissingBucket(); name != nil {
-		return state, logError("read", l.id, name, ErrBucketMissing)
+		return state, newLogError("read", l.id, name, ErrBucketMissing)
 	}
 	head, err := l.readHead()
 	if err != nil {
 		return state, err
 	}
 	if wantMemberID != 0 && head.Me != wantMemberID {
-		return state, logError("read head", l.id, l.names.head, ErrForeignDisk)
+		return state, newLogError("read head", l.id, l.names.head, ErrForeignDisk)
 	}
-	state = head.toState()
+	state = head.toPersistentState()
 	if state.Snapshot, err = l.readSnapshot(); err != nil {
 		return state, err
 	}
@@ -108,12 +111,13 @@
 		return state, err
 	}
 	if err = state.Validate(); err != nil {
-		return state, logError("check", l.id, l.names.entries, err)
+		return state, newLogError("validate", l.id, l.names.entries, err)
 	}
 	return state, nil
 }
 
-// readSnapshot reads the snapshot. It returns the zero Snapshot for a log that has none because no cluster was founded on it.
+// readSnapshot reads the snapshot of the log. readSnapshot returns the zero Snapshot for the log of a disk that does not belong to a
+// cluster yet.
 func (l logBuckets) readSnapshot() (replication.Snapshot, error) {
 	value := l.snapshot.Get(snapshotKey)
 	if value == nil {
@@ -121,18 +125,18 @@
 	}
 	var stored storedSnapshot
 	if err := decodeGob(value, &stored); err != nil {
-		return replication.Snapshot{}, logError("read snapshot", l.id, l.names.snapshot, err)
+		return replication.Snapshot{}, newLogError("read snapshot", l.id, l.names.snapshot, err)
 	}
 	return stored.toSnapshot(), nil
 }
 
-// readEntries reads all entries in index order.
+// readEntries returns all entries of the log in index order.
 func (l logBuckets) readEntries() ([]replication.Entry, error) {
 	var entries []replication.Entry
 	err := l.entries.ForEach(func(key, value []byte) error {
 		var stored storedEntry
 		if err := decodeGob(value, &stored); err != nil {
-			return logError(fmt.Sprintf("read entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("read entry with key %x", key), l.id, l.names.entries, err)
 		}
 		entries = append(entries, stored.toEntry())
 		return nil
@@ -140,18 +144,19 @@
 	return entries, err
 }
 
-// write applies the snapshot and the entries of a write to the buckets. It does not write the head.
-func (l logBuckets) write(w *replication.Write) error {
+// writeSnapshotAndEntries stores the snapshot and the entries of a write, and deletes the entries that the write removes.
+// writeSnapshotAndEntries does not write the head.
+func (l logBuckets) writeSnapshotAndEntries(w *replication.Write) error {
 	if w.Snapshot != nil {
 		if err := putGob(l.snapshot, snapshotKey, newStoredSnapshot(w.Snapshot)); err != nil {
-			return logError("write snapshot", l.id, l.names.snapshot, err)
+			return newLogError("write snapshot", l.id, l.names.snapshot, err)
 		}
 	}
-	// Delete by key instead of through the cursor. In bbolt 1.5 a cursor that deletes entries over several pages and then seeks to the
-	// end loops forever over pages that are already empty.
+	// The entries are deleted by key and not through the cursor. In bbolt 1.5 a cursor that deletes entries on several pages and then seeks
+	// to the end loops forever over the empty pages.
 	for _, key := range l.obsoleteKeys(w) {
 		if err := l.entries.Delete(key); err != nil {
-			return logError(fmt.Sprintf("delete entry %x", key), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("delete entry with key %x", key), l.id, l.names.entries, err)
 		}
 	}
 	if w.FirstIndex == 0 {
@@ -160,7 +165,7 @@
 	for i := range w.Entries {
 		e := &w.Entries[i]
 		if err := putGob(l.entries, indexKey(e.Index), newStoredEntry(e)); err != nil {
-			return logError(fmt.Sprintf("write entry %d", e.Index), l.id, l.names.entries, err)
+			return newLogError(fmt.Sprintf("write entry with index %d", e.Index), l.id, l.names.entries, err)
 		}
 	}
 	return nil
@@ -168,13 +173,13 @@
 
 func (l logBuckets) writeHead(h storedHead) error {
 	if err := putGob(l.head, headKey, h); err != nil {
-		return logError("write head", l.id, l.names.head, err)
+		return newLogError("write head", l.id, l.names.head, err)
 	}
 	return nil
 }
 
-// obsoleteKeys returns the keys of the entries that a write removes. These are the entries that the write's snapshot covers and the
-// entries from the write's first index on.
+// obsoleteKeys returns the keys of the stored entries that a write removes. A write removes the entries up to the index of its snapshot and
+// the entries from its first index on.
 func (l logBuckets) obsoleteKeys(w *replication.Write) (keys [][]byte) {
 	c := l.entries.Cursor()
 	if w.Snapshot != nil {
--- a/internal/gateway/logstore/errors_test.go
+++ b/internal/gateway/logstore/errors_test.go
@@ -11,8 +11,9 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// An operator needs to find the damage in a corrupt file. Its error names the file, the log, the bucket and the failed operation.
-func TestErrorsNameFileLogAndBucket(t *testing.T) {
+// An operator needs to find the damage in a corrupt file. The error of Open must therefore contain the file, the log, the bucket and the failed
+// operation.
+func TestErrorsIdentifyFileLogAndBucket(t *testing.T) {
 	const group = replication.LogID(3)
 	for _, c := range []struct {
 		name      string
@@ -22,16 +23,16 @@
 	}{
 		{"missing bucket", func(tx *bbolt.Tx) error { return tx.DeleteBucket([]byte("group 03 log")) },
 			LogError{Operation: "read", Log: group, Bucket: "group 03 log"}, ErrBucketMissing},
-		{"head of another disk", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
+		{"head with the member ID of another disk", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).writeHead(storedHead{Me: 7}) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, ErrForeignDisk},
 		{"missing head", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).head.Delete(headKey) },
 			LogError{Operation: "read head", Log: group, Bucket: "group 03 head"}, nil},
-		{"torn snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
+		{"truncated snapshot", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).snapshot.Put(snapshotKey, []byte{1}) },
 			LogError{Operation: "read snapshot", Log: group, Bucket: "group 03 snapshot"}, nil},
-		{"torn entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
-			LogError{Operation: "read entry 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
+		{"truncated entry", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Put(indexKey(2), []byte{1}) },
+			LogError{Operation: "read entry with key 0000000000000002", Log: group, Bucket: "group 03 log"}, nil},
 		{"gap in the entries", func(tx *bbolt.Tx) error { return lookupBuckets(tx, group).entries.Delete(indexKey(2)) },
-			LogError{Operation: "check", Log: group, Bucket: "group 03 log"}, nil},
+			LogError{Operation: "validate", Log: group, Bucket: "group 03 log"}, nil},
 		{"missing head of the configuration's log", func(tx *bbolt.Tx) error {
 			return lookupBuckets(tx, replication.ConfigurationLog).head.Delete(headKey)
 		}, LogError{Operation: "read head", Log: replication.ConfigurationLog, Bucket: "book"}, nil},
@@ -41,7 +42,7 @@
 		must.NoError(t, err)
 		must.NoError(t, store.Write([]replication.LogWrite{{Log: group, Write: replication.Write{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}},
-			Entries:  []replication.Entry{entry(2, 1, "a"), entry(3, 1, "b")}}}}))
+			Entries:  []replication.Entry{newEntry(2, 1, "a"), newEntry(3, 1, "b")}}}}))
 		must.NoError(t, store.file.Update(c.corrupt))
 		must.NoError(t, store.Close())
 
--- a/internal/gateway/logstore/filename_test.go
+++ b/internal/gateway/logstore/filename_test.go
@@ -15,14 +15,14 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// newDirWithFormerName returns a new directory with a file under the former name, and the state in that file.
+// newDirWithFormerName returns a new directory that holds a file with a state under the former name, and returns that state.
 func newDirWithFormerName(t *testing.T) (dir string, want replication.PersistentState) {
 	t.Helper()
 	dir = t.TempDir()
 	s, want, err := Open(dir)
 	must.NoError(t, err)
-	w := foundingWrite(want.ID)
-	w.Entries = []replication.Entry{entry(2, 1, "a")}
+	w := newFoundingWrite(want.ID)
+	w.Entries = []replication.Entry{newEntry(2, 1, "a")}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: w}}))
 	want.Apply(w)
 	must.NoError(t, s.Close())
@@ -30,14 +30,14 @@
 	return dir, want
 }
 
-// foundingWrite returns the first write of a cluster with one member.
-func foundingWrite(id replication.MemberID) replication.Write {
+// newFoundingWrite returns the first write to a log when a cluster with one member is founded.
+func newFoundingWrite(id replication.MemberID) replication.Write {
 	return replication.Write{ClusterID: 5, Term: 1, Vote: id, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: id, Addr: "a"}}}}
 }
 
-// fileNames returns the names of the files in a directory.
-func fileNames(t *testing.T, dir string) (all []string) {
+// listFileNames returns the names of the files in a directory.
+func listFileNames(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	must.NoError(t, err)
@@ -47,38 +47,38 @@
 	return all
 }
 
-// requireState opens the file in a directory and checks that it holds the state and has only the present name.
+// requireState opens the file in a directory and checks that the file holds the state want and has only the present name.
 func requireState(t *testing.T, dir string, want replication.PersistentState) {
 	t.Helper()
 	s, got, err := Open(dir)
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, fileNames(t, dir))
+	must.Eq(t, []string{FileName}, listFileNames(t, dir))
 	must.NoError(t, s.Close())
 }
 
-// Open uses the file of an earlier version, renames it and writes it under its present name. The directory is synced last, because a power
-// loss could otherwise undo the rename.
+// Open renames the file of an earlier version, and later writes go to the renamed file. Open syncs the directory after the rename, because a
+// power loss could otherwise undo the rename.
 func TestFormerNameIsReplaced(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	fs := &faultyFilesystem{}
-	s, got, err := open(dir, fs)
+	s, got, err := openOnFilesystem(dir, fs)
 	must.NoError(t, err)
 	must.NoError(t, s.RenameError())
 	must.Eq(t, []string{"sync file", "rename", "sync directory"}, fs.steps)
-	must.Eq(t, filepath.Join(dir, FileName), s.path) // errors name this path from now on
+	must.Eq(t, filepath.Join(dir, FileName), s.path) // later errors contain this path
 	must.Eq(t, want, got)
-	must.Eq(t, []string{FileName}, fileNames(t, dir))
-	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+	must.Eq(t, []string{FileName}, listFileNames(t, dir))
+	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
 	must.NoError(t, s.Close())
 	requireState(t, dir, want)
 }
 
-// A crash before or after any step of the rename loses nothing, even if a power loss undoes a rename whose directory was not synced. The
-// next Open reads the state under whichever name is left and completes the rename.
+// A crash before or after any step of the rename loses no data, even if a power loss undoes a rename whose directory was not synced. The next
+// Open reads the state from the file that is left, under either name, and completes the rename.
 func TestCrashDuringRenameLosesNothing(t *testing.T) {
 	crashPoints := 0
 	for crashAt := 1; ; crashAt++ {
@@ -90,23 +90,23 @@
 				return
 			}
 			crashPoints++
-			if renameIsUndone && slices.Contains(fileNames(t, dir), FileName) {
+			if renameIsUndone && slices.Contains(listFileNames(t, dir), FileName) {
 				must.NoError(t, os.Rename(filepath.Join(dir, FileName), filepath.Join(dir, formerFileName)))
 			}
-			must.SliceLen(t, 1, fileNames(t, dir))
+			must.SliceLen(t, 1, listFileNames(t, dir))
 			requireState(t, dir, want)
 		}
 	}
 }
 
-// If the sync of the directory fails, a later power loss may undo the rename. The writes since then are kept, because both names refer to
-// the same file.
+// If the sync of the directory fails, a later power loss may undo the rename. The writes after the rename are kept, because both names refer
+// to the same file.
 func TestUndoneRenameKeepsLaterWrites(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
-	s, _, err := open(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
+	s, _, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{"sync directory": unix.EIO}})
 	must.NoError(t, err)
 	must.ErrorIs(t, s.RenameError(), unix.EIO)
-	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+	later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 	must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 	want.Apply(later)
 	must.NoError(t, s.Close())
@@ -114,18 +114,18 @@
 	requireState(t, dir, want)
 }
 
-// A store whose file cannot be renamed, for example on a full disk, works under the former name, so that its replicas still vote and
-// acknowledge. The next Open renames the file if it can.
+// If the file cannot be renamed, for example on a full disk, the store uses the file under the former name, so that the node's replicas still
+// vote and acknowledge entries. The next Open tries the rename again.
 func TestFailedRenameKeepsFormerName(t *testing.T) {
 	for _, step := range []string{"sync file", "rename"} {
 		dir, want := newDirWithFormerName(t)
-		s, got, err := open(dir, &faultyFilesystem{failures: map[string]error{step: unix.ENOSPC}})
+		s, got, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{step: unix.ENOSPC}})
 		must.NoError(t, err)
 		must.ErrorIs(t, s.RenameError(), unix.ENOSPC)
 		must.StrContains(t, s.RenameError().Error(), filepath.Join(dir, formerFileName))
 		must.Eq(t, want, got)
-		must.Eq(t, []string{formerFileName}, fileNames(t, dir))
-		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{entry(3, 2, "b")}}
+		must.Eq(t, []string{formerFileName}, listFileNames(t, dir))
+		later := replication.Write{ClusterID: 5, Term: 2, Commit: 2, FirstIndex: 3, Entries: []replication.Entry{newEntry(3, 2, "b")}}
 		must.NoError(t, s.Write([]replication.LogWrite{{Write: later}}))
 		want.Apply(later)
 		must.NoError(t, s.Close())
@@ -142,12 +142,13 @@
 	_, _, err := Open(dir)
 	var fileErr *FileError
 	must.True(t, errors.As(err, &fileErr), must.Sprint(err))
-	must.Eq(t, []string{formerFileName}, fileNames(t, dir))
+	must.Eq(t, []string{formerFileName}, listFileNames(t, dir))
 	must.NoError(t, other.Close())
 	requireState(t, dir, want)
 }
 
-// Of two files, the one that holds no state is ignored, whichever name it has. No other node knows the member ID of an empty file.
+// If one of two files holds no state, Open ignores the empty file and uses the other, whichever names the two have. No other node knows the
+// member ID of an empty file.
 func TestEmptyFileIsIgnoredBesideState(t *testing.T) {
 	for _, empty := range []string{FileName, formerFileName} {
 		for _, size := range []string{"no bytes", "no bucket"} {
@@ -159,15 +160,15 @@
 			s, got, err := Open(dir)
 			must.NoError(t, err)
 			must.NoError(t, s.RenameError())
-			must.Eq(t, want, got, must.Sprint(empty, " with ", size))
+			must.Eq(t, want, got, must.Sprint(empty, " is an empty file with ", size))
 			must.NoError(t, s.Close())
 			must.FileExists(t, filepath.Join(dir, FileName))
 		}
 	}
 }
 
-// writeEmptyFile writes the file that a process leaves if it ends before its first write. The file has no bytes, or with withPages the
-// pages of an empty bbolt file.
+// writeEmptyFile writes the file that a process leaves if the process ends before its first write. If withPages is true, the file has the pages
+// of an empty bbolt file. Otherwise it has no bytes.
 func writeEmptyFile(t *testing.T, path string, withPages bool) {
 	t.Helper()
 	must.NoError(t, os.WriteFile(path, nil, fileMode))
@@ -178,7 +179,7 @@
 	}
 }
 
-// One file under both names counts as one, and so do two files with the same bytes.
+// Open accepts a directory in which both names are links to one file, or in which two files have the same bytes.
 func TestSameFileUnderBothNamesIsUsed(t *testing.T) {
 	for _, linked := range []bool{true, false} {
 		dir, want := newDirWithFormerName(t)
@@ -194,20 +195,20 @@
 	}
 }
 
-// Open rejects and does not change two files if both hold a state or one of them cannot be read. The older file lacks votes and entries, so
-// using it could lose them. After an operator has removed one file, Open uses the other.
-func TestTwoStatesAreRefused(t *testing.T) {
+// Open returns a ConflictError and changes no file if both files hold a state or one of them cannot be read. If Open chose the older file,
+// votes and acknowledged entries would be lost. After an operator has removed one file, Open uses the other file.
+func TestOpenRejectsTwoStates(t *testing.T) {
 	for name, makeCurrent := range map[string]func(t *testing.T, dir string, id replication.MemberID){
-		"file of another disk made by an earlier version": func(t *testing.T, dir string, _ replication.MemberID) {
+		"file that an earlier version created with a new member ID": func(t *testing.T, dir string, _ replication.MemberID) {
 			s, kept, err := Open(dir)
 			must.NoError(t, err)
-			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(kept.ID)}}))
+			must.NoError(t, s.Write([]replication.LogWrite{{Write: newFoundingWrite(kept.ID)}}))
 			must.NoError(t, s.Close())
 		},
-		"copy with later writes": func(t *testing.T, dir string, id replication.MemberID) {
+		"file with the same member ID and other writes": func(t *testing.T, dir string, id replication.MemberID) {
 			s := &Store{dir: dir, path: filepath.Join(dir, FileName), filesystem: osFilesystem{}, memberID: id}
 			must.NoError(t, s.openForWriting(true))
-			must.NoError(t, s.Write([]replication.LogWrite{{Write: foundingWrite(id)}}))
+			must.NoError(t, s.Write([]replication.LogWrite{{Write: newFoundingWrite(id)}}))
 			must.NoError(t, s.Close())
 		},
 		"corrupt file": func(t *testing.T, dir string, _ replication.MemberID) {
@@ -220,7 +221,7 @@
 		must.NoError(t, os.Rename(former, formerAside))
 		makeCurrent(t, dir, want.ID)
 		must.NoError(t, os.Rename(formerAside, former))
-		before := readAll(t, current, former)
+		before := readFiles(t, current, former)
 
 		_, _, err := Open(dir)
 		var conflict *ConflictError
@@ -229,18 +230,18 @@
 		must.Eq(t, want.Term, conflict.Former.Term)
 		must.Eq(t, want.Commit, conflict.Former.Commit)
 		must.StrContains(t, err.Error(), current)
-		must.StrContains(t, err.Error(), fmt.Sprintf("%s (member %x, term 1, commit index 1)", former, uint64(want.ID)))
-		must.Eq(t, before, readAll(t, current, former))
+		must.StrContains(t, err.Error(), fmt.Sprintf("%s (member ID %x, term 1, commit index 1)", former, uint64(want.ID)))
+		must.Eq(t, before, readFiles(t, current, former))
 		must.NoError(t, os.Remove(current))
 		requireState(t, dir, want)
 	}
 }
 
-// If the former name cannot be removed, it stays. The next Open recognizes both names as the same file.
-func TestFailedRemovalOfFormerName(t *testing.T) {
+// If Open cannot remove the former name of a file with both names, both names stay. The next Open recognizes both names as the same file.
+func TestFailedRemovalKeepsFormerName(t *testing.T) {
 	dir, want := newDirWithFormerName(t)
 	must.NoError(t, os.Link(filepath.Join(dir, formerFileName), filepath.Join(dir, FileName)))
-	store, got, err := open(dir, &faultyFilesystem{failures: map[string]error{"remove": unix.ENOSPC}})
+	store, got, err := openOnFilesystem(dir, &faultyFilesystem{failures: map[string]error{"remove": unix.ENOSPC}})
 	must.NoError(t, err)
 	must.ErrorIs(t, store.RenameError(), unix.ENOSPC)
 	must.Eq(t, want, got)
@@ -248,8 +249,8 @@
 	requireState(t, dir, want)
 }
 
-// readAll returns the contents of files.
-func readAll(t *testing.T, paths ...string) (contents [][]byte) {
+// readFiles returns the contents of the files at the given paths, in the same order.
+func readFiles(t *testing.T, paths ...string) (contents [][]byte) {
 	t.Helper()
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
@@ -259,7 +260,7 @@
 	return contents
 }
 
-// Wipe removes a corrupt file under its present or its former name.
+// Wipe removes a corrupt file under the present name and under the former name.
 func TestWipeRemovesBothNames(t *testing.T) {
 	for _, name := range []string{FileName, formerFileName} {
 		dir := t.TempDir()
@@ -269,6 +270,6 @@
 		must.True(t, errors.As(err, &corrupt), must.Sprint(err))
 		must.Eq(t, filepath.Join(dir, name), corrupt.Path)
 		must.NoError(t, Wipe(dir))
-		must.SliceEmpty(t, fileNames(t, dir))
+		must.SliceEmpty(t, listFileNames(t, dir))
 	}
 }
--- a/internal/gateway/logstore/filesystem_test.go
+++ b/internal/gateway/logstore/filesystem_test.go
@@ -9,20 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyFilesystem is the operating system's filesystem with injected faults.
+// faultyFilesystem implements filesystem with the operating system's calls and injects faults into them.
 type faultyFilesystem struct {
 	osFilesystem
 	failures map[string]error // error to return, by step such as "rename"
-	crashAt  int              // number of the step, from 1, before which the process ends; 0 means never
-	steps    []string         // the steps reached, in order
+	crashAt  int              // number of the step, from 1, before which a crash is simulated; 0 means no crash
+	steps    []string         // names of the steps that were reached, in order
 	opened   []*os.File
 }
 
-// errCrash is the panic value that simulates the end of the process.
+// errCrash is the panic value that simulates a crash of the process.
 var errCrash = errors.New("simulated crash of the process")
 
-// step records a step and returns its injected error. It panics with errCrash at the step crashAt.
-func (f *faultyFilesystem) step(name string) error {
+// recordStep records a step and returns the error that is injected into the step, or nil. recordStep panics with errCrash at the step
+// crashAt.
+func (f *faultyFilesystem) recordStep(name string) error {
 	f.steps = append(f.steps, name)
 	if len(f.steps) == f.crashAt {
 		panic(errCrash)
@@ -44,28 +45,28 @@
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
 		stepName = "sync directory"
 	}
-	if err := f.step(stepName); err != nil {
+	if err := f.recordStep(stepName); err != nil {
 		return err
 	}
 	return f.osFilesystem.Sync(name)
 }
 
 func (f *faultyFilesystem) Rename(from, to string) error {
-	if err := f.step("rename"); err != nil {
+	if err := f.recordStep("rename"); err != nil {
 		return err
 	}
 	return f.osFilesystem.Rename(from, to)
 }
 
 func (f *faultyFilesystem) Remove(name string) error {
-	if err := f.step("remove"); err != nil {
+	if err := f.recordStep("remove"); err != nil {
 		return err
 	}
 	return f.osFilesystem.Remove(name)
 }
 
-// openAndCrash opens the file in a directory and simulates a process that is killed before the step crashAt. It returns false if Open
-// finished before that step.
+// openAndCrash opens the file in a directory and simulates a crash of the process before the step crashAt. openAndCrash returns false if
+// Open finished before that step.
 func (f *faultyFilesystem) openAndCrash(t *testing.T, dir string) (crashed bool) {
 	t.Helper()
 	defer func() {
@@ -75,13 +76,13 @@
 			f.releaseLocks()
 		}
 	}()
-	s, _, err := open(dir, f)
+	s, _, err := openOnFilesystem(dir, f)
 	must.NoError(t, err)
 	must.NoError(t, s.Close())
 	return false
 }
 
-// releaseLocks releases the locks of a process that has ended.
+// releaseLocks closes all opened files and releases their locks, as the kernel does when a process ends.
 func (f *faultyFilesystem) releaseLocks() {
 	for _, file := range f.opened {
 		_ = unix.Flock(int(file.Fd()), unix.LOCK_UN)
--- a/internal/gateway/logstore/logs_test.go
+++ b/internal/gateway/logstore/logs_test.go
@@ -12,9 +12,9 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// Logs in one file stay independent. Open returns each log as if the file held only that log, whether its writes were stored in one
-// transaction or in several. A write to one log does not change another log.
-func TestManyLogsReadBack(t *testing.T) {
+// A write to one log must not change another log in the same file. Open returns each log as if the file held only that log, whether the writes
+// to the log were stored in one transaction or in several.
+func TestLogsInOneFileAreIndependent(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -23,32 +23,33 @@
 		want[id] = replication.PersistentState{ID: state.ID}
 	}
 	members := []replication.Member{{ID: state.ID, Addr: "a"}}
-	foundingWrite := func(id replication.LogID) replication.LogWrite {
+	newFoundingWrite := func(id replication.LogID) replication.LogWrite {
 		return replication.LogWrite{Log: id, Write: replication.Write{ClusterID: 5 + uint64(id), Term: 1, Commit: 1, FirstIndex: 2,
 			Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}
 	}
-	appendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
+	newAppendWrite := func(id replication.LogID, from, term uint64, data ...string) replication.LogWrite {
 		w := replication.Write{ClusterID: 5 + uint64(id), Term: term, Commit: 1, FirstIndex: from}
 		for i, text := range data {
-			w.Entries = append(w.Entries, entry(from+uint64(i), term, text))
+			w.Entries = append(w.Entries, newEntry(from+uint64(i), term, text))
 		}
 		return replication.LogWrite{Log: id, Write: w}
 	}
 	for _, batch := range [][]replication.LogWrite{
-		{foundingWrite(0)},
-		{foundingWrite(3), foundingWrite(1)},
-		{appendWrite(1, 2, 1, "a", "b"), appendWrite(0, 2, 1, "c"), appendWrite(3, 2, 1, "d", "e", "f")},
-		{appendWrite(3, 3, 2, "g")},
+		{newFoundingWrite(0)},
+		{newFoundingWrite(3), newFoundingWrite(1)},
+		{newAppendWrite(1, 2, 1, "a", "b"), newAppendWrite(0, 2, 1, "c"), newAppendWrite(3, 2, 1, "d", "e", "f")},
+		{newAppendWrite(3, 3, 2, "g")},
 		{{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3,
-			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}}, {Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
-			Entries: []replication.Entry{entry(4, 1, "h")}}}},
-		{foundingWrite(2)},
+			Snapshot: &replication.Snapshot{Index: 2, Term: 1, Members: members, State: []byte("a")}}},
+			{Log: 1, Write: replication.Write{ClusterID: 6, Term: 1, Commit: 3, FirstIndex: 4,
+				Entries: []replication.Entry{newEntry(4, 1, "h")}}}},
+		{newFoundingWrite(2)},
 	} {
 		must.NoError(t, store.Write(batch))
 		for _, w := range batch {
-			kept := want[w.Log]
-			kept.Apply(w.Write)
-			want[w.Log] = kept
+			wantState := want[w.Log]
+			wantState.Apply(w.Write)
+			want[w.Log] = wantState
 		}
 		must.NoError(t, store.Close())
 		store, state, err = Open(dir)
@@ -65,8 +66,8 @@
 	must.NoError(t, store.Close())
 }
 
-// A transaction that fails, or whose process ends during it, leaves none of its writes in any log. The writes of several groups in one
-// transaction are stored together or not at all.
+// The writes to several logs in one transaction are stored together or not at all. The second write of the transaction exceeds the maximum size
+// of the file, so the first write must not be stored either.
 func TestWriteIsAtomicAcrossLogs(t *testing.T) {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
@@ -78,7 +79,7 @@
 	tooLong.Snapshot, tooLong.Entries = nil, []replication.Entry{{Index: 2, Term: 1, Data: make([]byte, 4<<20)}}
 	store.file.MaxSize = 1 << 20
 	small := tooLong
-	small.Entries = []replication.Entry{entry(2, 1, "small")}
+	small.Entries = []replication.Entry{newEntry(2, 1, "small")}
 	must.Error(t, store.Write([]replication.LogWrite{{Log: 0, Write: small}, {Log: 1, Write: tooLong}}))
 	must.NoError(t, store.Close())
 	store, state, err = Open(dir)
@@ -88,8 +89,8 @@
 	must.NoError(t, store.Close())
 }
 
-// The file stays below a bound proportional to the retained data while the snapshots of eight groups and of the
-// configuration replace each other, with entries between them. Writes go one at a time, as a WriteQueue issues them.
+// The size of the file stays below a bound that is proportional to the size of the current snapshots and entries. The test repeatedly replaces
+// the snapshots and entries of eight groups and of the configuration, one write at a time, as replication.WriteQueue does.
 func TestSizeOfManyLogsIsBounded(t *testing.T) {
 	const groups = 8
 	for _, stateBytes := range []int{64 << 10, 1 << 20} {
@@ -109,12 +110,12 @@
 		must.NoError(t, store.Close())
 		info, err := os.Stat(filepath.Join(dir, FileName))
 		must.NoError(t, err)
-		t.Logf("%d logs with a snapshot of %d KB and entries of half that size: the file has %d KB", groups+1, stateBytes>>10, info.Size()>>10)
+		t.Logf("size of a file with %d logs, each with a snapshot of %d KB and an entry of half that size: %d KB", groups+1, stateBytes>>10, info.Size()>>10)
 		must.LessEq(t, int64((groups+1)*stateBytes*3/2*5/4+6*stateBytes+256<<10), info.Size())
 	}
 }
 
-// BenchmarkGroupWrite measures the thread's processor time of one synced write of an entry to one of eight groups.
+// BenchmarkGroupWrite measures the processor time that one synced write of an entry to one of eight groups takes on the writing thread.
 func BenchmarkGroupWrite(b *testing.B) {
 	store, state, err := Open(b.TempDir())
 	must.NoError(b, err)
@@ -125,18 +126,18 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	spent := func() int64 {
+	processorTime := func() int64 {
 		var r unix.Rusage
 		must.NoError(b, unix.Getrusage(unix.RUSAGE_THREAD, &r))
 		return r.Utime.Nano() + r.Stime.Nano()
 	}
-	began, n := spent(), 0
+	timeAtStart, n := processorTime(), 0
 	for b.Loop() {
 		index := uint64(2 + n/8)
 		must.NoError(b, store.Write([]replication.LogWrite{{Log: replication.LogID(1 + n%8), Write: replication.Write{ClusterID: 1, Term: 1,
 			Commit: index - 1, FirstIndex: index, Entries: []replication.Entry{{Index: index, Term: 1, Data: make([]byte, 100)}}}}}))
 		n++
 	}
-	b.ReportMetric(float64(spent()-began)/float64(n)/1e3, "cpu-us/op")
+	b.ReportMetric(float64(processorTime()-timeAtStart)/float64(n)/1e3, "cpu-us/op")
 	must.NoError(b, store.Close())
 }
--- a/internal/gateway/logstore/store_test.go
+++ b/internal/gateway/logstore/store_test.go
@@ -13,8 +13,8 @@
 	"clovergap/internal/gateway/replication"
 )
 
-// entry returns an entry with data and no members.
-func entry(index, term uint64, data string) replication.Entry {
+// newEntry returns an entry with data and no members.
+func newEntry(index, term uint64, data string) replication.Entry {
 	return replication.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
@@ -27,7 +27,7 @@
 	return s.Write(all)
 }
 
-// A reopened file holds the same state that PersistentState.Apply computes from the same writes.
+// Open returns the state that PersistentState.Apply computes from the same writes.
 func TestReopenRestoresAppliedWrites(t *testing.T) {
 	dir := t.TempDir()
 	store, want, err := Open(dir)
@@ -37,13 +37,13 @@
 	for _, batch := range [][]replication.Write{
 		{{ClusterID: 5, Term: 1, Commit: 1, Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}, FirstIndex: 2}},
 		{{ClusterID: 5, Term: 2, Vote: 7, Commit: 1, FirstIndex: 2,
-			Entries: []replication.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}},
+			Entries: []replication.Entry{newEntry(2, 2, "a"), newEntry(3, 2, "b"), newEntry(4, 2, "c")}},
 			{ClusterID: 5, Term: 3, Vote: 7, Commit: 2}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 3, FirstIndex: 4, // replaces the entries from index 4 on
-			Entries: []replication.Entry{entry(4, 3, "d"), entry(5, 3, "e")}}},
+			Entries: []replication.Entry{newEntry(4, 3, "d"), newEntry(5, 3, "e")}}},
 		{{ClusterID: 5, Term: 3, Vote: 7, Commit: 4,
 			Snapshot: &replication.Snapshot{Index: 4, Term: 3, Members: members, State: []byte("abd")}}},
-		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot of another member
+		{{ClusterID: 5, Term: 9, Vote: 8, Commit: 30, FirstIndex: 31, // a snapshot that another member sent
 			Snapshot: &replication.Snapshot{Index: 30, Term: 8, Members: members, State: []byte("z")}}},
 	} {
 		must.NoError(t, writeConfiguration(store, batch))
@@ -62,20 +62,20 @@
 	must.NoError(t, store.Close())
 }
 
-// The file stays below 1 MiB with a state of 100 KB and up to 100 entries of 1 KB after each snapshot.
+// The file stays below 1 MiB if each snapshot has 100 KB and at most 100 entries of 1 KB follow each snapshot.
 func TestSizeIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
 	must.NoError(t, err)
-	list, index := []replication.Member{{ID: 1}}, uint64(1)
+	members, index := []replication.Member{{ID: 1}}, uint64(1)
 	for range 30 {
 		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: index,
-			Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: list, State: make([]byte, 100_000)}}}))
+			Snapshot: &replication.Snapshot{Index: index, Term: 1, Members: members, State: make([]byte, 100_000)}}}))
 		for range 20 {
 			w := replication.Write{ClusterID: 5, Term: 1, Commit: index, FirstIndex: index + 1}
 			for range 5 {
 				index++
-				w.Entries = append(w.Entries, entry(index, 1, string(make([]byte, 1000))))
+				w.Entries = append(w.Entries, newEntry(index, 1, string(make([]byte, 1000))))
 			}
 			must.NoError(t, writeConfiguration(store, []replication.Write{w}))
 		}
@@ -83,22 +83,22 @@
 	must.NoError(t, store.Close())
 	info, err := os.Stat(filepath.Join(dir, FileName))
 	must.NoError(t, err)
-	t.Logf("the file has %d bytes", info.Size())
+	t.Logf("size of the file: %d bytes", info.Size())
 	must.Less(t, int64(1<<20), info.Size())
 }
 
-// Open of a truncated or overwritten file never crashes the process. It returns an error that names the file, or the file opens because the
-// damage does not affect it.
-func TestCorruptFileIsReportedNotFatal(t *testing.T) {
+// A truncated or partly overwritten file must not crash the process. Open either returns a CorruptError with the path of the file, or succeeds
+// because the damage affects no data in use.
+func TestCorruptFileReturnsErrorWithoutCrash(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
-	store, old, err := Open(dir)
+	store, before, err := Open(dir)
 	must.NoError(t, err)
 	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 5, Term: 1, Commit: 1, FirstIndex: 2,
-		Entries:  []replication.Entry{entry(2, 1, "a")},
+		Entries:  []replication.Entry{newEntry(2, 1, "a")},
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: 1}}, State: make([]byte, 9000)}}}))
 	must.NoError(t, store.Close())
-	whole, err := os.ReadFile(path)
+	validContent, err := os.ReadFile(path)
 	must.NoError(t, err)
 	corruptCount := 0
 	checkOpen := func(content []byte) {
@@ -113,22 +113,22 @@
 		must.True(t, errors.As(openErr, &corrupt), must.Sprint(openErr))
 		must.StrContains(t, openErr.Error(), path)
 	}
-	for at := 512; at < len(whole); at += 512 {
-		checkOpen(whole[:at])
-		junk := bytes.Repeat([]byte{0xa5}, 512)
-		checkOpen(bytes.Join([][]byte{whole[:at], junk, whole[min(at+512, len(whole)):]}, nil))
+	for at := 512; at < len(validContent); at += 512 {
+		checkOpen(validContent[:at])
+		garbage := bytes.Repeat([]byte{0xa5}, 512)
+		checkOpen(bytes.Join([][]byte{validContent[:at], garbage, validContent[min(at+512, len(validContent)):]}, nil))
 	}
 	must.Positive(t, corruptCount)
-	checkOpen(whole[:100])
+	checkOpen(validContent[:100])
 	must.NoError(t, Wipe(dir))
 	store, state, err := Open(dir)
 	must.NoError(t, err)
-	must.NotEq(t, old.ID, state.ID)
+	must.NotEq(t, before.ID, state.ID)
 	must.Eq(t, 0, state.Term)
 	must.NoError(t, store.Close())
 }
 
-// The soft state keeps only the newest value, which survives a restart. An empty file has none.
+// SoftState returns the newest saved value, also after a restart. It returns nil if no value was saved.
 func TestSoftStateKeepsNewestValue(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
@@ -143,21 +143,21 @@
 	must.NoError(t, store.Close())
 }
 
-// A follower that lags behind receives a snapshot that removes all its entries, over several pages, and a later entry in the same write.
-// This write used to loop forever in a bbolt cursor.
-func TestSnapshotAndLaterEntriesInOneWrite(t *testing.T) {
+// A write with a snapshot that removes entries on several pages, and with a later entry, used to loop forever in a bbolt cursor. A follower
+// that lags behind receives such a write.
+func TestSnapshotAndLaterEntriesAreWrittenTogether(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		store, state, err := Open(t.TempDir())
 		must.NoError(t, err)
 		snap := replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID, Addr: "a"}}}
 		first := replication.Write{Seq: 1, ClusterID: 1, Term: 1, Commit: 1, Snapshot: &snap, FirstIndex: 2}
 		for i := uint64(2); i <= 400; i++ {
-			first.Entries = append(first.Entries, entry(i, 1, "some data of a change"))
+			first.Entries = append(first.Entries, newEntry(i, 1, "some data of a change"))
 		}
 		must.NoError(t, writeConfiguration(store, []replication.Write{first}))
 		snap.Index = 400
 		later := []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap, FirstIndex: 401,
-			Entries: []replication.Entry{entry(401, 1, "more")}}}
+			Entries: []replication.Entry{newEntry(401, 1, "more")}}}
 		if !together {
 			later = []replication.Write{{Seq: 2, ClusterID: 1, Term: 1, Commit: 400, Snapshot: &snap},
 				{Seq: 3, ClusterID: 1, Term: 1, Commit: 400, FirstIndex: 401, Entries: later[0].Entries}}
@@ -172,31 +172,31 @@
 	}
 }
 
-// A first start on a full disk used to end the process. The store now has a member ID but no file and confirms nothing. It works as any other
-// store once the disk takes writes again, whatever an earlier attempt to create the file left in the directory. After other faults Open still
-// fails and changes nothing.
-func TestDiskFullAtFirstStart(t *testing.T) {
+// A first start on a full disk used to end the process. The store must then have a member ID but no file, and confirm no write. After the disk
+// has space again, the store creates the file, even if an earlier attempt left an incomplete file in the directory. After other errors than a
+// full disk, Open must fail and change nothing.
+func TestStoreRecoversFromDiskFullAtFirstStart(t *testing.T) {
 	dir := t.TempDir()
 	fs := &faultyFilesystem{failures: map[string]error{"open": unix.EACCES}}
-	_, _, err := open(dir, fs)
+	_, _, err := openOnFilesystem(dir, fs)
 	must.ErrorIs(t, err, unix.EACCES)
 
 	fs.failures["open"] = unix.ENOSPC
-	store, state, err := open(dir, fs)
+	store, state, err := openOnFilesystem(dir, fs)
 	must.NoError(t, err)
-	must.False(t, store.Created())
+	must.False(t, store.HasFile())
 	must.Positive(t, state.ID)
 	must.Nil(t, store.SoftState())
-	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{entry(2, 1, "a")},
+	write := []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2, Entries: []replication.Entry{newEntry(2, 1, "a")},
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: []replication.Member{{ID: state.ID}}}}}
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 	must.ErrorIs(t, store.SaveSoftState([]byte("one")), unix.ENOSPC)
-	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // the part that the disk had room for
+	must.NoError(t, os.WriteFile(filepath.Join(dir, FileName), make([]byte, 5000), 0o600)) // the incomplete file of an earlier attempt
 	must.ErrorIs(t, writeConfiguration(store, write), unix.ENOSPC)
 
 	delete(fs.failures, "open")
 	must.NoError(t, writeConfiguration(store, write))
-	must.True(t, store.Created())
+	must.True(t, store.HasFile())
 	must.NoError(t, store.Close())
 	store, reopened, err := Open(dir)
 	must.NoError(t, err)
@@ -204,7 +204,7 @@
 	must.Len(t, 1, reopened.Entries)
 	must.NoError(t, store.Close())
 
-	fs.failures["open"] = unix.ENOSPC // Open never returns a store without a file if there is a file with a state
-	_, _, err = open(dir, fs)
+	fs.failures["open"] = unix.ENOSPC // if there is a file with a state, Open must not return a store without a file
+	_, _, err = openOnFilesystem(dir, fs)
 	must.ErrorIs(t, err, unix.ENOSPC)
 }
