--- a/internal/gateway/node/reload.go
+++ b/internal/gateway/node/reload.go
@@ -13,7 +13,7 @@
 			n.logWarn(nodePart).Err(err).Msg("settings rejected, the former ones stay")
 			return
 		}
-		if fixed := n.settings.RestartRequired(loaded); len(fixed) > 0 {
+		if fixed := n.settings.ChangedRestartFields(loaded); len(fixed) > 0 {
 			n.logWarn(nodePart).Strs("settings", fixed).Msg("settings need a restart")
 		}
 		n.roster.Tick(n.loop.Now())
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -110,7 +110,7 @@
 			}
 			step(func(w *world) {
 				w.left[o]--
-				if v, _, final := m.folded(w.log[:w.at[i]], w.from[i]).Final(d.kind, []byte(d.body)); final {
+				if v, _, final := m.folded(w.log[:w.at[i]], w.from[i]).DecideFinal(d.kind, []byte(d.body)); final {
 					m.told(w, o, v)
 				} else {
 					w.pending += string(rune(o))
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -72,9 +72,9 @@
 	return d.result, d.err
 }
 
-// Final is as Decide, and tells besides whether the result is the same in every later state: a node that is behind may
+// DecideFinal is as Decide, and tells besides whether the result is the same in every later state: a node that is behind may
 // answer by that, and by nothing else.
-func (r *Register) Final(k Kind, body []byte) (result Result, err error, final bool) {
+func (r *Register) DecideFinal(k Kind, body []byte) (result Result, err error, final bool) {
 	d := r.decide(digestOf(k, body), k, body)
 	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
--- a/internal/gateway/settings/doc.go
+++ b/internal/gateway/settings/doc.go
@@ -6,5 +6,5 @@
 // each as the file does; a FieldError is one of them.
 //
 // The package does no more than that: it applies nothing, and what a running process takes over from a changed file is decided by the
-// node. RestartRequired tells what it can't.
+// node. ChangedRestartFields tells what it can't.
 package settings
--- a/internal/gateway/settings/settings.go
+++ b/internal/gateway/settings/settings.go
@@ -85,9 +85,9 @@
 	Regions int `yaml:"regions" validate:"min=0"`
 }
 
-// RestartRequired names the fields, as the file does, that differ from other and that a process takes up at its start only. The rest may
+// ChangedRestartFields names the fields, as the file does, that differ from other and that a process takes up at its start only. The rest may
 // change at any time.
-func (s *Settings) RestartRequired(other *Settings) (fields []string) {
+func (s *Settings) ChangedRestartFields(other *Settings) (fields []string) {
 	for _, field := range []struct {
 		name string
 		same bool
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -159,6 +159,6 @@
 	changed := strings.NewReplacer("7575", "7580", "drain=2s", "drain=3s", "8384", "8385").Replace(example)
 	b, err := Parse([]byte(changed))
 	must.NoError(t, err)
-	must.Eq(t, []string{"bind.readiness", "inner_port_range"}, a.RestartRequired(b))
-	must.SliceEmpty(t, a.RestartRequired(a))
+	must.Eq(t, []string{"bind.readiness", "inner_port_range"}, a.ChangedRestartFields(b))
+	must.SliceEmpty(t, a.ChangedRestartFields(a))
 }
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -47,7 +47,7 @@
 // answer with the result even though the node's own state is stale. Otherwise the result may differ from the result of Decide.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
 	if config, ok := routingKind(kind); ok {
-		return m.Configs.Final(config, body)
+		return m.Configs.DecideFinal(config, body)
 	}
 	if kind != KindRollout {
 		return routing.Accepted, nil, false
