--- a/internal/gateway/routing/duration.go
+++ b/internal/gateway/routing/duration.go
@@ -14,8 +14,8 @@
 	if len(number) < len(text) {
 		number = strings.TrimSuffix(number, "m")
 	}
-	before, after, point := strings.Cut(number, ".")
-	if len(number) == len(text) || !isDigits(before) || point && !isDigits(after) {
+	wholePart, fraction, hasPoint := strings.Cut(number, ".")
+	if len(number) == len(text) || !isDigits(wholePart) || hasPoint && !isDigits(fraction) {
 		return 0, errors.Errorf("%q is not a number followed by ms or s", text)
 	}
 	d, err := time.ParseDuration(text)
@@ -29,14 +29,14 @@
 	return text != "" && strings.Trim(text, "0123456789") == ""
 }
 
-// durationOr reads a text that has been checked; what is left out or 0 is the default.
-func durationOr(text *string, otherwise time.Duration) time.Duration {
+// durationOrDefault reads a text that has been checked; what is left out or 0 is the default.
+func durationOrDefault(text *string, defaultValue time.Duration) time.Duration {
 	if text == nil {
-		return otherwise
+		return defaultValue
 	}
 	d, err := ParseDuration(*text)
 	if err != nil || d == 0 {
-		return otherwise
+		return defaultValue
 	}
 	return d
 }
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -15,12 +15,12 @@
 	fieldName     = "name"
 )
 
-// merge gives the complete configuration that results from a change upon base, laid out as a Replace is. Both have been
+// mergeChange gives the complete configuration that results from a change upon base, laid out as a Replace is. Both have been
 // read before. Removals come first, so that one change can move a route to another host.
 //
 // Lists of items that this version does not know are changed by name as well; what upserts holds that is no list replaces
 // the field of its name. Other fields beside upserts and removals are the call's own and are not taken over.
-func merge(base, change []byte) ([]byte, error) {
+func mergeChange(base, change []byte) ([]byte, error) {
 	config := object{}
 	if base != nil {
 		var err error
@@ -36,23 +36,23 @@
 	upserts, _ := readObject(call.get("upserts"))
 	emptied := map[string]bool{}
 	for _, e := range removals {
-		remove(&config, e, emptied)
+		applyRemoval(&config, e, emptied)
 	}
 	for _, e := range upserts {
-		upsert(&config, e)
+		applyUpsert(&config, e)
 	}
-	dropEmptied(&config, emptied)
+	removeEmptiedHosts(&config, emptied)
 	config.set("generation", call.get("generation"))
 	parent := call.get("parent_version")
 	if parent == nil {
 		parent = json.RawMessage("0")
 	}
 	config.set("parent_version", parent)
-	return config.bytes(), nil
+	return config.encode(), nil
 }
 
-// remove carries out one list of names under removals. Hosts that it leaves without routes are noted in emptied.
-func remove(config *object, removal entry, emptied map[string]bool) {
+// applyRemoval carries out one list of names under removals. Hosts that it leaves without routes are noted in emptied.
+func applyRemoval(config *object, removal objectField, emptied map[string]bool) {
 	var names []string
 	if json.Unmarshal(removal.value, &names) != nil || len(names) == 0 {
 		return
@@ -60,57 +60,57 @@
 	switch strings.ToLower(removal.name) {
 	case "routes":
 		if hosts := config.get(fieldHosts); hosts != nil {
-			config.set(fieldHosts, dropRoutes(hosts, names, emptied))
+			config.set(fieldHosts, removeRoutes(hosts, names, emptied))
 		}
 	case fieldHosts:
 		for i := range names {
 			names[i] = strings.ToLower(names[i])
 		}
 		if hosts := config.get(fieldHosts); hosts != nil {
-			config.set(fieldHosts, writeItems(drop(readItems(hosts, fieldHostname), names)))
+			config.set(fieldHosts, encodeItems(removeItems(readItems(hosts, fieldHostname), names)))
 		}
 	default:
 		if list := bytes.TrimSpace(config.get(removal.name)); len(list) > 0 && list[0] == '[' {
-			config.set(removal.name, writeItems(drop(readItems(list, fieldName), names)))
+			config.set(removal.name, encodeItems(removeItems(readItems(list, fieldName), names)))
 		}
 	}
 }
 
-// upsert carries out one field of upserts.
-func upsert(config *object, e entry) {
+// applyUpsert carries out one field of upserts.
+func applyUpsert(config *object, e objectField) {
 	value := bytes.TrimSpace(e.value)
 	switch {
 	case bytes.Equal(value, []byte("null")):
 	case strings.EqualFold(e.name, fieldHosts):
 		hosts := readItems(config.get(fieldHosts), fieldHostname)
 		for _, host := range readItems(value, fieldHostname) {
-			hosts = putHost(hosts, host)
+			hosts = putHostRoutes(hosts, host)
 		}
-		config.set(fieldHosts, writeItems(hosts))
+		config.set(fieldHosts, encodeItems(hosts))
 	case value[0] == '[':
 		items := readItems(config.get(e.name), fieldName)
 		for _, it := range readItems(value, fieldName) {
-			items = put(items, it)
+			items = putItem(items, it)
 		}
-		config.set(e.name, writeItems(items))
+		config.set(e.name, encodeItems(items))
 	default:
 		config.set(e.name, value)
 	}
 }
 
-// dropEmptied takes out the hosts that removals left without routes, unless upserts gave them some. A host without routes
+// removeEmptiedHosts takes out the hosts that removals left without routes, unless upserts gave them some. A host without routes
 // answers as one that is not there, and hosts that come and go would pile up.
-func dropEmptied(config *object, emptied map[string]bool) {
+func removeEmptiedHosts(config *object, emptied map[string]bool) {
 	if len(emptied) == 0 {
 		return
 	}
 	hosts := readItems(config.get(fieldHosts), fieldHostname)
-	hosts = slices.DeleteFunc(hosts, func(h item) bool { return emptied[h.name] && !hasRoutes(h.raw) })
-	config.set(fieldHosts, writeItems(hosts))
+	hosts = slices.DeleteFunc(hosts, func(h namedItem) bool { return emptied[h.name] && !hasRoutes(h.raw) })
+	config.set(fieldHosts, encodeItems(hosts))
 }
 
-// dropRoutes takes the named routes out of all hosts, and notes in emptied the hosts that it left without any.
-func dropRoutes(raw json.RawMessage, names []string, emptied map[string]bool) json.RawMessage {
+// removeRoutes takes the named routes out of all hosts, and notes in emptied the hosts that it left without any.
+func removeRoutes(raw json.RawMessage, names []string, emptied map[string]bool) json.RawMessage {
 	hosts := readItems(raw, fieldHostname)
 	for i := range hosts {
 		host, err := readObject(hosts[i].raw)
@@ -119,16 +119,16 @@
 		}
 		routes := readItems(host.get(fieldRoutes), fieldName)
 		before := len(routes)
-		if routes = drop(routes, names); len(routes) == before {
+		if routes = removeItems(routes, names); len(routes) == before {
 			continue
 		}
-		host.set(fieldRoutes, writeItems(routes))
-		hosts[i].raw = host.bytes()
+		host.set(fieldRoutes, encodeItems(routes))
+		hosts[i].raw = host.encode()
 		if len(routes) == 0 {
 			emptied[hosts[i].name] = true
 		}
 	}
-	return writeItems(hosts)
+	return encodeItems(hosts)
 }
 
 func hasRoutes(host json.RawMessage) bool {
@@ -136,9 +136,9 @@
 	return err == nil && len(readItems(fields.get(fieldRoutes), fieldName)) > 0
 }
 
-// putHost adds a host, or puts its routes among those of the host that is there.
-func putHost(hosts []item, it item) []item {
-	i := slices.IndexFunc(hosts, func(o item) bool { return o.name == it.name })
+// putHostRoutes adds a host, or puts its routes among those of the host that is there.
+func putHostRoutes(hosts []namedItem, it namedItem) []namedItem {
+	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == it.name })
 	if i < 0 {
 		return append(hosts, it)
 	}
@@ -155,10 +155,10 @@
 		}
 		routes := readItems(current.get(e.name), fieldName)
 		for _, r := range readItems(e.value, fieldName) {
-			routes = put(routes, r)
+			routes = putItem(routes, r)
 		}
-		current.set(e.name, writeItems(routes))
+		current.set(e.name, encodeItems(routes))
 	}
-	hosts[i].raw = current.bytes()
+	hosts[i].raw = current.encode()
 	return hosts
 }
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -10,9 +10,9 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// orders of operators: two under one number, a change on top of it, a whole configuration on top of that, and one that is wrong in
+// modelCalls of operators: two under one number, a change on top of it, a whole configuration on top of that, and one that is wrong in
 // itself. So often each may be sent.
-var modelOrders = []struct {
+var modelCalls = []struct {
 	kind               Kind
 	generation, parent uint64
 	body               string
@@ -30,88 +30,88 @@
 	modelWindow = 1 // orders that are remembered
 )
 
-// world is how things stand: a log, who has folded how much of it, and what operators were told.
-type world struct {
-	log     string               // committed, an order each
-	pending string               // proposed, neither committed nor lost
-	left    [8]int8              // how often each may still be sent
-	at      [modelNodes]int8     // folded by a node, which may be behind
-	from    [modelNodes + 1]int8 // restored from a snapshot there: nodes, then the leader
-	refused [8]bool              // for good: the version that it builds on was current before
+// modelState is how things stand: a log, who has folded how much of it, and what operators were told.
+type modelState struct {
+	log            string               // committed, an order each
+	pending        string               // proposed, neither committed nor lost
+	remainingSends [8]int8              // how often each may still be sent
+	appliedCount   [modelNodes]int8     // folded by a node, which may be behind
+	snapshotIndex  [modelNodes + 1]int8 // restored from a snapshot there: nodes, then the leader
+	rejected       [8]bool              // for good: the version that it builds on was current before
 }
 
 // model plays all of it and judges by a register that forgets nothing.
 type model struct {
-	knobs  TestingKnobs
-	cached map[string]*Register
-	broken string
+	knobs     TestingKnobs
+	registers map[string]*Register
+	violation string
 }
 
-// folded is the register of one who restored a snapshot at from and folded the rest.
-func (m *model) folded(log string, from int8) *Register {
+// foldedRegister is the register of one who restored a snapshot at from and folded the rest.
+func (m *model) foldedRegister(log string, from int8) *Register {
 	key := fmt.Sprint(log, from)
-	if r := m.cached[key]; r != nil {
+	if r := m.registers[key]; r != nil {
 		return r
 	}
 	r := &Register{accepted: logentry.NewDedupWindow(modelWindow * 17), knobs: m.knobs}
 	for i, o := range log {
-		r.Apply(modelOrders[o].kind, []byte(modelOrders[o].body))
+		r.Apply(modelCalls[o].kind, []byte(modelCalls[o].body))
 		if int8(i)+1 == from {
-			r, _ = restore(r.Snapshot(), modelWindow*17)
+			r, _ = restoreWithWindow(r.Snapshot(), modelWindow*17)
 			r.knobs = m.knobs
 		}
 	}
-	m.cached[key] = r
+	m.registers[key] = r
 	return r
 }
 
-// truth is the version after a log, and which orders were taken.
-func truth(log string) (version uint64, taken []int) {
+// referenceState is the version after a log, and which orders were taken.
+func referenceState(log string) (version uint64, accepted []int) {
 	for _, o := range log {
-		d := modelOrders[o]
-		if d.parent == version && d.generation > version && !slices.Contains(taken, int(o)) {
-			version, taken = d.generation, append(taken, int(o))
+		d := modelCalls[o]
+		if d.parent == version && d.generation > version && !slices.Contains(accepted, int(o)) {
+			version, accepted = d.generation, append(accepted, int(o))
 		}
 	}
-	return version, taken
+	return version, accepted
 }
 
-// told judges an answer to an order.
-func (m *model) told(w *world, o int, v Result) {
-	version, taken := truth(w.log)
-	place, d := slices.Index(taken, o), modelOrders[o]
+// checkAnswer judges an answer to an order.
+func (m *model) checkAnswer(w *modelState, o int, v Result) {
+	version, accepted := referenceState(w.log)
+	index, d := slices.Index(accepted, o), modelCalls[o]
 	switch {
-	case (v == Accepted || v == Duplicate) && place < 0:
-		m.broken = "confirmed, and not taken"
-	case v != Accepted && v != Duplicate && place >= len(taken)-modelWindow && place >= 0:
-		m.broken = "taken a moment ago, and not confirmed"
-	case (v == Conflict || v == Invalid) && place >= 0:
-		m.broken = "taken, and refused"
+	case (v == Accepted || v == Duplicate) && index < 0:
+		m.violation = "confirmed, and not taken"
+	case v != Accepted && v != Duplicate && index >= len(accepted)-modelWindow && index >= 0:
+		m.violation = "taken a moment ago, and not confirmed"
+	case (v == Conflict || v == Invalid) && index >= 0:
+		m.violation = "taken, and refused"
 	case (v == Conflict || v == Invalid) && d.parent == version && d.generation > version:
-		m.broken = "valid on the newest state, and refused"
-	case v == Ambiguous && (len(taken) <= modelWindow || d.generation > modelOrders[taken[len(taken)-modelWindow-1]].generation):
-		m.broken = "left unclear, and nothing so old is forgotten"
+		m.violation = "valid on the newest state, and refused"
+	case v == Ambiguous && (len(accepted) <= modelWindow || d.generation > modelCalls[accepted[len(accepted)-modelWindow-1]].generation):
+		m.violation = "left unclear, and nothing so old is forgotten"
 	case v == Conflict || v == Invalid:
-		w.refused[o] = w.refused[o] || d.parent <= version
+		w.rejected[o] = w.rejected[o] || d.parent <= version
 	}
 }
 
-// next is every world that may follow.
-func (m *model) next(w world) (all []world) {
-	step := func(do func(w *world)) {
+// successors is every world that may follow.
+func (m *model) successors(w modelState) (all []modelState) {
+	addSuccessor := func(do func(w *modelState)) {
 		next := w
 		do(&next)
 		all = append(all, next)
 	}
-	for o, d := range modelOrders {
-		for i := range w.at {
-			if w.left[o] == 0 {
+	for o, d := range modelCalls {
+		for i := range w.appliedCount {
+			if w.remainingSends[o] == 0 {
 				continue
 			}
-			step(func(w *world) {
-				w.left[o]--
-				if v, _, final := m.folded(w.log[:w.at[i]], w.from[i]).DecideFinal(d.kind, []byte(d.body)); final {
-					m.told(w, o, v)
+			addSuccessor(func(w *modelState) {
+				w.remainingSends[o]--
+				if v, _, final := m.foldedRegister(w.log[:w.appliedCount[i]], w.snapshotIndex[i]).DecideFinal(d.kind, []byte(d.body)); final {
+					m.checkAnswer(w, o, v)
 				} else {
 					w.pending += string(rune(o))
 				}
@@ -119,61 +119,61 @@
 		}
 	}
 	if w.pending != "" {
-		step(func(w *world) { w.pending = "" }) // another leads, who had none of it; nobody is told
-		step(func(w *world) {
+		addSuccessor(func(w *modelState) { w.pending = "" }) // another leads, who had none of it; nobody is told
+		addSuccessor(func(w *modelState) {
 			o := int(w.pending[0])
-			v, _ := m.folded(w.log, w.from[modelNodes]).Decide(modelOrders[o].kind, []byte(modelOrders[o].body))
+			v, _ := m.foldedRegister(w.log, w.snapshotIndex[modelNodes]).Decide(modelCalls[o].kind, []byte(modelCalls[o].body))
 			w.log, w.pending = w.log+w.pending[:1], w.pending[1:]
-			if v == Accepted && w.refused[o] {
-				m.broken = "refused, and taken"
+			if v == Accepted && w.rejected[o] {
+				m.violation = "refused, and taken"
 			}
-			m.told(w, o, v)
+			m.checkAnswer(w, o, v)
 		})
 	}
-	for i := range w.at {
-		if int(w.at[i]) < len(w.log) {
-			step(func(w *world) { w.at[i]++ })
+	for i := range w.appliedCount {
+		if int(w.appliedCount[i]) < len(w.log) {
+			addSuccessor(func(w *modelState) { w.appliedCount[i]++ })
 		}
-		if w.from[i] != w.at[i] {
-			step(func(w *world) { w.from[i] = w.at[i] }) // it starts anew, from its snapshot
+		if w.snapshotIndex[i] != w.appliedCount[i] {
+			addSuccessor(func(w *modelState) { w.snapshotIndex[i] = w.appliedCount[i] }) // it starts anew, from its snapshot
 		}
 	}
-	if int(w.from[modelNodes]) != len(w.log) {
-		step(func(w *world) { w.from[modelNodes] = int8(len(w.log)) })
+	if int(w.snapshotIndex[modelNodes]) != len(w.log) {
+		addSuccessor(func(w *modelState) { w.snapshotIndex[modelNodes] = int8(len(w.log)) })
 	}
 	return all
 }
 
-// explore goes through so many worlds, breadth first, until something is broken.
-func explore(knobs TestingKnobs, most int) (seen int, broken string) {
-	m := &model{knobs: knobs, cached: map[string]*Register{}}
-	begin := world{}
-	for o, d := range modelOrders {
-		begin.left[o] = d.copies
+// exploreStates goes through so many worlds, breadth first, until something is broken.
+func exploreStates(knobs TestingKnobs, maxStates int) (stateCount int, violation string) {
+	m := &model{knobs: knobs, registers: map[string]*Register{}}
+	initial := modelState{}
+	for o, d := range modelCalls {
+		initial.remainingSends[o] = d.copies
 	}
-	known, queue := map[world]bool{begin: true}, []world{begin}
-	for len(queue) > 0 && len(known) < most && m.broken == "" {
+	visited, queue := map[modelState]bool{initial: true}, []modelState{initial}
+	for len(queue) > 0 && len(visited) < maxStates && m.violation == "" {
 		w := queue[0]
 		queue = queue[1:]
-		for _, n := range m.next(w) {
-			if !known[n] {
-				known[n] = true
+		for _, n := range m.successors(w) {
+			if !visited[n] {
+				visited[n] = true
 				queue = append(queue, n)
 			}
 		}
 	}
-	return len(known), m.broken
+	return len(visited), m.violation
 }
 
 // Copies of orders come in all orders, through nodes that are behind, around leaders that are lost, before and after snapshots:
 // of two under one number one is taken, what was taken is confirmed or left unclear, and what was refused stays out.
-func TestOrdersInAllOrders(t *testing.T) {
-	seen, broken := explore(TestingKnobs{}, 150_000)
-	must.Eq(t, "", broken)
-	t.Log(seen, "worlds")
-	for want, knobs := range withoutDefence {
-		seen, broken := explore(knobs, 150_000)
-		must.Eq(t, want, broken)
-		t.Logf("%q found after %d worlds", want, seen)
+func TestModelOfConfigurationCalls(t *testing.T) {
+	stateCount, violation := exploreStates(TestingKnobs{}, 150_000)
+	must.Eq(t, "", violation)
+	t.Log(stateCount, "worlds")
+	for want, knobs := range knobsByViolation {
+		stateCount, violation := exploreStates(knobs, 150_000)
+		must.Eq(t, want, violation)
+		t.Logf("%q found after %d worlds", want, stateCount)
 	}
 }
--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -39,7 +39,7 @@
 // its generation is above the current one is for the Register to say.
 func ReadConfig(body []byte) (*Config, error) {
 	b := new(Config)
-	if err := read(body, b); err != nil {
+	if err := decodeBody(body, b); err != nil {
 		return nil, err
 	}
 	return b, validate(b)
@@ -49,14 +49,14 @@
 // are *FieldError.
 func ReadAmendment(body []byte) (*Amendment, error) {
 	a := new(Amendment)
-	if err := read(body, a); err != nil {
+	if err := decodeBody(body, a); err != nil {
 		return nil, err
 	}
 	return a, validate(a)
 }
 
-// read fills into from one JSON object and nothing after it.
-func read(body []byte, into any) error {
+// decodeBody fills into from one JSON object and nothing after it.
+func decodeBody(body []byte, into any) error {
 	if !utf8.Valid(body) {
 		return fieldError("", "the body is not UTF-8")
 	}
@@ -65,36 +65,36 @@
 		return fieldError("", "the body is not a JSON object")
 	}
 	err := json.Unmarshal(body, into)
-	var wrong *json.UnmarshalTypeError
-	if err != nil && !errors.As(err, &wrong) {
+	var typeErr *json.UnmarshalTypeError
+	if err != nil && !errors.As(err, &typeErr) {
 		return fieldError("", "%s", err)
 	}
 	// The body is valid JSON.
-	if bad := checkStructure(body, start, 1, func() string { return "" }); bad != nil {
-		return bad
+	if structureErr := checkStructure(body, start, 1, func() string { return "" }); structureErr != nil {
+		return structureErr
 	}
-	if wrong != nil {
-		path := pathAt(body, start, int(wrong.Offset), "")
-		return fieldError(path, "a %s cannot be a %s", wrong.Value, wrong.Type)
+	if typeErr != nil {
+		path := pathAtOffset(body, start, int(typeErr.Offset), "")
+		return fieldError(path, "a %s cannot be a %s", typeErr.Value, typeErr.Type)
 	}
 	return nil
 }
 
 // validate checks what was read by its tags and by the rules below.
 func validate(v any) error {
-	err := validatorOnce().Struct(v)
+	err := sharedValidator().Struct(v)
 	if err == nil {
 		return nil
 	}
-	var bad validator.ValidationErrors
-	if !errors.As(err, &bad) || len(bad) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return fieldError("", "%s", err)
 	}
-	_, path, _ := strings.Cut(bad[0].Namespace(), ".")
-	return fieldError(path, "%s", describe(bad[0]))
+	_, path, _ := strings.Cut(violations[0].Namespace(), ".")
+	return fieldError(path, "%s", describeViolation(violations[0]))
 }
 
-func describe(e validator.FieldError) string {
+func describeViolation(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "missing"
@@ -116,7 +116,7 @@
 	return "breaks the rule " + e.Tag()
 }
 
-var validatorOnce = sync.OnceValue(func() *validator.Validate {
+var sharedValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -128,12 +128,12 @@
 	}); err != nil {
 		panic(err) // only an empty tag or function is an error
 	}
-	v.RegisterStructValidation(checkRoute, ConfigRoute{})
-	v.RegisterStructValidation(checkNames, Config{})
+	v.RegisterStructValidation(validateRoute, ConfigRoute{})
+	v.RegisterStructValidation(validateServiceNames, Config{})
 	return v
 })
 
-func checkRoute(sl validator.StructLevel) {
+func validateRoute(sl validator.StructLevel) {
 	r := sl.Current().Interface().(ConfigRoute)
 	if len(r.WeightedTargets) > 0 {
 		sum := 0.0 // integers could wrap around to 0
@@ -154,24 +154,24 @@
 	}
 }
 
-func checkNames(sl validator.StructLevel) {
+func validateServiceNames(sl validator.StructLevel) {
 	b := sl.Current().Interface().(Config)
-	known := make(map[string]bool, len(b.Services))
+	serviceNames := make(map[string]bool, len(b.Services))
 	for i := range b.Services {
-		known[b.Services[i].Name] = true
+		serviceNames[b.Services[i].Name] = true
 	}
 	for i := range b.Vhosts {
 		for j := range b.Vhosts[i].PathList {
 			r := &b.Vhosts[i].PathList[j]
 			path := "vhosts[" + strconv.Itoa(i) + "].path_list[" + strconv.Itoa(j) + "]."
 			for k, t := range r.WeightedTargets {
-				if !known[t.Target] {
+				if !serviceNames[t.Target] {
 					at := path + "weighted_targets[" + strconv.Itoa(k) + "].target"
 					sl.ReportError(t.Target, at, "Target", "service", t.Target)
 				}
 			}
 			// A route without any target names no service at all, which is rejected as an unknown one is.
-			if (r.Target != "" || len(r.WeightedTargets) == 0) && !known[r.Target] {
+			if (r.Target != "" || len(r.WeightedTargets) == 0) && !serviceNames[r.Target] {
 				sl.ReportError(r.Target, path+"target", "Target", "service", r.Target)
 			}
 		}
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -34,7 +34,7 @@
 	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[r]
 }
 
-func digestOf(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
+func callDigest(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
 
 // Register is the configuration in force, folded from the replicated log of calls: members that apply the same calls in the
 // same order have equal registers. It is not safe for concurrent use.
@@ -45,8 +45,8 @@
 	accepted *logentry.DedupWindow // by version
 
 	// The last call decided since the register changed: a node decides a call and then applies it.
-	decidedDigest logentry.Digest
-	decided       *decision
+	lastDigest   logentry.Digest
+	lastDecision *decision
 
 	knobs TestingKnobs
 }
@@ -68,40 +68,40 @@
 // Decide tells what would become of a call now, and changes nothing. The error is nil where it would be accepted or was
 // before, else a *FieldError.
 func (r *Register) Decide(k Kind, body []byte) (Result, error) {
-	d := r.decide(digestOf(k, body), k, body)
+	d := r.cachedDecision(callDigest(k, body), k, body)
 	return d.result, d.err
 }
 
 // DecideFinal is as Decide, and tells besides whether the result is the same in every later state: a node that is behind may
 // answer by that, and by nothing else.
 func (r *Register) DecideFinal(k Kind, body []byte) (result Result, err error, final bool) {
-	d := r.decide(digestOf(k, body), k, body)
+	d := r.cachedDecision(callDigest(k, body), k, body)
 	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
 
 // Apply carries out a call, as Decide tells it. The body is copied.
 func (r *Register) Apply(k Kind, body []byte) (Result, error) {
-	digest := digestOf(k, body)
-	d := r.decide(digest, k, body)
+	digest := callDigest(k, body)
+	d := r.cachedDecision(digest, k, body)
 	if d.result != Accepted {
 		return d.result, d.err
 	}
 	invariant.Assert(d.config.Generation > r.version, "versions of the configuration go up")
 	r.version, r.body, r.config = d.config.Generation, d.body, d.config
 	r.accepted.Add(r.version, digest)
-	r.decided = nil
+	r.lastDecision = nil
 	return Accepted, nil
 }
 
-func (r *Register) decide(digest logentry.Digest, k Kind, body []byte) *decision {
-	if r.decided == nil || r.decidedDigest != digest {
-		d := r.evaluate(digest, k, body)
-		r.decidedDigest, r.decided = digest, &d
+func (r *Register) cachedDecision(digest logentry.Digest, k Kind, body []byte) *decision {
+	if r.lastDecision == nil || r.lastDigest != digest {
+		d := r.evaluateCall(digest, k, body)
+		r.lastDigest, r.lastDecision = digest, &d
 	}
-	return r.decided
+	return r.lastDecision
 }
 
-func (r *Register) evaluate(d logentry.Digest, k Kind, body []byte) decision {
+func (r *Register) evaluateCall(d logentry.Digest, k Kind, body []byte) decision {
 	// The digest covers the generation that the body names.
 	if r.accepted.Has(d) {
 		return decision{result: Duplicate, final: true}
@@ -121,7 +121,7 @@
 	}
 	complete, config := slices.Clone(body), c.config
 	if k == Amend {
-		if complete, config, err = r.amended(body); err != nil {
+		if complete, config, err = r.mergeAmendment(body); err != nil {
 			return decision{result: Invalid, err: err}
 		}
 		invariant.Assert(config.Generation == c.generation, "what results has the change's generation")
@@ -158,7 +158,7 @@
 	switch k {
 	case Replace:
 		config := new(Config)
-		if err := read(body, config); err != nil {
+		if err := decodeBody(body, config); err != nil {
 			return change{}, err
 		}
 		return change{config.Generation, config.ParentVersion, config}, nil
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// amended gives the complete configuration that results from an Amend.
-func (r *Register) amended(body []byte) ([]byte, *Config, error) {
-	complete, err := merge(r.body, body)
+// mergeAmendment gives the complete configuration that results from an Amend.
+func (r *Register) mergeAmendment(body []byte) ([]byte, *Config, error) {
+	complete, err := mergeChange(r.body, body)
 	if err != nil {
 		return nil, nil, fieldError("", "what results can't be read: %s", err)
 	}
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -15,8 +15,8 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// whole is the page's example with fields that this program does not know and numbers in several forms.
-const whole = `{"generation":7, "services":[{"name":"huvo","health_path":"/health","max_conns":130},
+// exampleConfig is the page's example with fields that this program does not know and numbers in several forms.
+const exampleConfig = `{"generation":7, "services":[{"name":"huvo","health_path":"/health","max_conns":130},
 {"name":"wuno"}],"limits":{"max_header_bytes":16384,"idle_timeout":"2.5s"},"note":{"x":1.50e2},
 "tenants":[{"name":"huka","api_keys":["k1","k2"],"priority":1,"rate_per_s":47,"burst":4.0}],
 "parent_version":0,"vhosts":[{"hostname":"Ficu.example","path_list":[
@@ -27,24 +27,24 @@
 {"hostname":"other.example","path_list":[
 {"name":"r-c","path_prefix":"/","variant":"pure","target":"wuno"}]}]}`
 
-func first(t *testing.T) *Register {
+func newExampleRegister(t *testing.T) *Register {
 	t.Helper()
 	r := NewRegister()
-	v, err := r.Apply(Replace, []byte(whole))
+	v, err := r.Apply(Replace, []byte(exampleConfig))
 	must.NoError(t, err)
 	must.Eq(t, Accepted, v)
 	return r
 }
 
-func amend(t *testing.T, r *Register, change string) {
+func mustAmend(t *testing.T, r *Register, change string) {
 	t.Helper()
 	v, err := r.Apply(Amend, []byte(change))
 	must.NoError(t, err)
 	must.Eq(t, Accepted, v)
 }
 
-func TestRefusalsNameTheirPlace(t *testing.T) {
-	for _, c := range []struct{ old, now, place string }{
+func TestErrorsNameTheInvalidField(t *testing.T) {
+	for _, c := range []struct{ old, replacement, wantPath string }{
 		{`"generation":7`, `"generation":0`, "generation"},
 		{`"generation":7`, `"generation":-7`, "generation"},
 		{`"generation":7, `, ``, "generation"},
@@ -69,27 +69,27 @@
 		{`"wuno"}]}]}`, `"wuno"}]}]`, ""},
 		{`{"x":1.50e2}`, strings.Repeat("[", 1<<20), ""},
 	} {
-		body := strings.Replace(whole, c.old, c.now, 1)
-		must.NotEq(t, whole, body)
+		body := strings.Replace(exampleConfig, c.old, c.replacement, 1)
+		must.NotEq(t, exampleConfig, body)
 		r := NewRegister()
 		v, err := r.Apply(Replace, []byte(body))
-		must.Eq(t, Invalid, v, must.Sprint(c.now))
+		must.Eq(t, Invalid, v, must.Sprint(c.replacement))
 		var f *FieldError
 		must.True(t, errors.As(err, &f))
-		must.Eq(t, c.place, f.Path, must.Sprint(err))
+		must.Eq(t, c.wantPath, f.Path, must.Sprint(err))
 		must.Eq(t, 0, r.Version())
 	}
-	for _, body := range []string{"", "null", "[]", "{}", whole + whole, "\xff" + whole} {
+	for _, body := range []string{"", "null", "[]", "{}", exampleConfig + exampleConfig, "\xff" + exampleConfig} {
 		v, _ := NewRegister().Decide(Replace, []byte(body))
 		must.Eq(t, Invalid, v)
 	}
-	v, err := first(t).Decide(Amend, []byte(`{"generation":9,"parent_version":7,"upserts":{
+	v, err := newExampleRegister(t).Decide(Amend, []byte(`{"generation":9,"parent_version":7,"upserts":{
 		"vhosts":[{"path_list":[{"path_prefix":"/","variant":"x"}]}]}}`))
 	must.Eq(t, Invalid, v)
 	must.StrHasPrefix(t, "upserts.vhosts[0].path_list[0].variant: ", err.Error())
 }
 
-func TestSpans(t *testing.T) {
+func TestParseDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0ms": 0, "1500ms": 1500 * time.Millisecond,
 		"2.5s": 2500 * time.Millisecond, "0.25ms": 250 * time.Microsecond,
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestNoMoreIsRefused(t *testing.T) {
+func TestEdgeCaseConfigsAreAccepted(t *testing.T) {
 	for old, now := range map[string]string{
 		`"600ms"`:        `"61.499s"`,
 		`"weight":90`:    `"weight":0`,
@@ -115,8 +115,8 @@
 		`"r-b"`:          `"r-a"`,
 		`"/lo/pu/"`:      `"/lo/"`,
 	} {
-		body := strings.Replace(whole, old, now, 1)
-		must.NotEq(t, whole, body)
+		body := strings.Replace(exampleConfig, old, now, 1)
+		must.NotEq(t, exampleConfig, body)
 		v, err := NewRegister().Decide(Replace, []byte(body))
 		must.NoError(t, err)
 		must.Eq(t, Accepted, v)
@@ -125,12 +125,12 @@
 	must.Eq(t, Accepted, v)
 }
 
-func TestAmend(t *testing.T) {
-	r := first(t)
-	must.Eq(t, whole, string(r.Body()))
+func TestAmendMergesNamedItems(t *testing.T) {
+	r := newExampleRegister(t)
+	must.Eq(t, exampleConfig, string(r.Body()))
 	// A route is replaced in its place, one is added, one removed; a host is emptied and goes, a key is
 	// taken away; a field that nobody knows stays as it was written.
-	amend(t, r, `{"generation":9,"parent_version":7,"removals":{"routes":["r-b","r-c","r-old"],"services":[]},
+	mustAmend(t, r, `{"generation":9,"parent_version":7,"removals":{"routes":["r-b","r-c","r-old"],"services":[]},
 		"upserts":{"services":[{"name":"new"},{"name":"wuno","odd":1.0}],
 		"tenants":[{"name":"huka","api_keys":["k2"]}],
 		"vhosts":[{"hostname":"ficu.EXAMPLE","path_list":[
@@ -150,7 +150,7 @@
 	must.StrHasPrefix(t, "vhosts[0].path_list[1].target: ", err.Error())
 
 	// One change moves a route to a new host; what upserts holds that is no list replaces the field.
-	amend(t, r, `{"generation":11,"parent_version":9,"removals":{"routes":["r-n"],"services":["new"]},
+	mustAmend(t, r, `{"generation":11,"parent_version":9,"removals":{"routes":["r-n"],"services":["new"]},
 		"upserts":{"generation":99,"limits":{"max_body_bytes":5},"vhosts":[{"hostname":"b","path_list":[
 		{"name":"r-n","path_prefix":"/","variant":"pure","target":"wuno"}]}]}}`)
 	must.Eq(t, 11, r.Version())
@@ -158,63 +158,63 @@
 	must.Eq(t, 2, len(table.Routes()))
 	must.Eq(t, 5, table.Limits().MaxBodyBytes)
 	must.Eq(t, DefaultIdleTimeout, table.Limits().IdleTimeout)
-	amend(t, r, `{"generation":12,"parent_version":11,"removals":{"vhosts":["B"],"tenants":["huka"]}}`)
+	mustAmend(t, r, `{"generation":12,"parent_version":11,"removals":{"vhosts":["B"],"tenants":["huka"]}}`)
 	must.Eq(t, 1, len(r.Config().Vhosts))
 	must.False(t, NewTable(r.Config()).HasTenants())
 }
 
-func TestResendsAndRaces(t *testing.T) {
-	r := first(t)
-	next := func(generation, parent int) []byte {
+func TestDuplicateAndConflictingCalls(t *testing.T) {
+	r := newExampleRegister(t)
+	emptyConfig := func(generation, parent int) []byte {
 		return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, generation, parent))
 	}
-	verdict := func(k Kind, body []byte) Result {
+	decideAndApply := func(k Kind, body []byte) Result {
 		decided, err1 := r.Decide(k, body)
 		applied, err2 := r.Apply(k, body)
 		must.Eq(t, decided, applied)
 		must.Eq(t, err1 == nil, err2 == nil)
 		return applied
 	}
-	must.Eq(t, Duplicate, verdict(Replace, []byte(whole)))
-	must.Eq(t, Invalid, verdict(Replace, next(7, 7)))
-	must.Eq(t, Conflict, verdict(Replace, next(9, 5)))
-	must.Eq(t, Accepted, verdict(Amend, next(9, 7)))
-	must.Eq(t, Conflict, verdict(Amend, next(11, 7)))      // lost the race
-	must.Eq(t, Conflict, verdict(Replace, next(9, 7)))     // the same bytes of another call
-	must.Eq(t, Duplicate, verdict(Amend, next(9, 7)))      // sent again
-	must.Eq(t, Duplicate, verdict(Replace, []byte(whole))) // sent again late
+	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig)))
+	must.Eq(t, Invalid, decideAndApply(Replace, emptyConfig(7, 7)))
+	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 5)))
+	must.Eq(t, Accepted, decideAndApply(Amend, emptyConfig(9, 7)))
+	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(11, 7)))       // lost the race
+	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 7)))      // the same bytes of another call
+	must.Eq(t, Duplicate, decideAndApply(Amend, emptyConfig(9, 7)))       // sent again
+	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig))) // sent again late
 	must.Eq(t, 9, r.Version())
 	for g := 10; g < 5010; g++ {
-		must.Eq(t, Accepted, verdict(Replace, next(g, g-1)))
+		must.Eq(t, Accepted, decideAndApply(Replace, emptyConfig(g, g-1)))
 	}
-	must.Eq(t, Duplicate, verdict(Replace, []byte(whole)))
+	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig)))
 	for g := 5010; g < 8010; g++ {
-		must.Eq(t, Accepted, verdict(Replace, next(g, g-1)))
+		must.Eq(t, Accepted, decideAndApply(Replace, emptyConfig(g, g-1)))
 	}
 	must.LessEq(t, 8010-4096, r.accepted.Horizon())
 	must.LessEq(t, logentry.DedupWindowBytes+10, len(r.accepted.Bytes()))
-	must.Eq(t, Ambiguous, verdict(Replace, []byte(whole))) // forgotten
-	must.Eq(t, Ambiguous, verdict(Replace, []byte(`{"generation":8,"vhosts":3}`)))
-	must.Eq(t, Invalid, verdict(Replace, []byte("{")))
+	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(exampleConfig))) // forgotten
+	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(`{"generation":8,"vhosts":3}`)))
+	must.Eq(t, Invalid, decideAndApply(Replace, []byte("{")))
 	horizon := int(r.accepted.Horizon())
-	must.Eq(t, Ambiguous, verdict(Replace, next(horizon, horizon-1)))
-	must.Eq(t, Duplicate, verdict(Replace, next(horizon+1, horizon)))
-	must.Eq(t, Conflict, verdict(Amend, next(horizon+1, horizon)))
-	must.Eq(t, Conflict, verdict(Replace, next(8010, horizon)))
+	must.Eq(t, Ambiguous, decideAndApply(Replace, emptyConfig(horizon, horizon-1)))
+	must.Eq(t, Duplicate, decideAndApply(Replace, emptyConfig(horizon+1, horizon)))
+	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(horizon+1, horizon)))
+	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(8010, horizon)))
 }
 
 // A member that starts from a snapshot anywhere in the log comes to the same as one that folded all of it.
-func TestMembersAgree(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
+func TestSnapshotsKeepRegistersEqual(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
 	a, b := NewRegister(), NewRegister()
 	for range 2000 {
 		body := []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`,
-			int(a.Version())+chance.IntN(4)-1, max(0, int(a.Version())-chance.IntN(2))))
-		kind := Kind(chance.IntN(2))
-		va, _ := a.Apply(kind, body)
-		vb, _ := b.Apply(kind, body)
-		must.Eq(t, va, vb)
-		if chance.IntN(9) == 0 {
+			int(a.Version())+random.IntN(4)-1, max(0, int(a.Version())-random.IntN(2))))
+		kind := Kind(random.IntN(2))
+		resultA, _ := a.Apply(kind, body)
+		resultB, _ := b.Apply(kind, body)
+		must.Eq(t, resultA, resultB)
+		if random.IntN(9) == 0 {
 			var err error
 			b, err = Restore(b.Snapshot())
 			must.NoError(t, err)
@@ -229,35 +229,35 @@
 
 // The snapshot of a program that kept the digests of the last 256 changes: these are known on, and of what it may have forgotten
 // nothing is refused.
-func TestOlderSnapshot(t *testing.T) {
-	body := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
+func TestRestoreLegacySnapshot(t *testing.T) {
+	emptyConfig := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
 	for _, x := range []struct {
 		versions int
-		before   Result // of one that is not among them
+		want     Result
 	}{{200, Conflict}, {300, Ambiguous}} {
-		old := snapshot{Body: body(x.versions)}
+		legacy := snapshot{Body: emptyConfig(x.versions)}
 		for v := max(1, x.versions-legacyAcceptedCount+1); v <= x.versions; v++ {
-			old.Taken = append(old.Taken, taken{uint64(v), sha256.Sum256(append([]byte{byte(Replace)}, body(v)...))})
+			legacy.Taken = append(legacy.Taken, taken{uint64(v), sha256.Sum256(append([]byte{byte(Replace)}, emptyConfig(v)...))})
 		}
-		r, err := Restore(logentry.Encode(old))
+		r, err := Restore(logentry.Encode(legacy))
 		must.NoError(t, err)
 		for range 2 {
-			for _, c := range old.Taken {
-				v, _ := r.Decide(Replace, body(int(c.Version)))
+			for _, c := range legacy.Taken {
+				v, _ := r.Decide(Replace, emptyConfig(int(c.Version)))
 				must.Eq(t, Duplicate, v)
 			}
-			v, _ := r.Decide(Amend, body(9))
-			must.Eq(t, x.before, v)
+			v, _ := r.Decide(Amend, emptyConfig(9))
+			must.Eq(t, x.want, v)
 			r, err = Restore(r.Snapshot())
 			must.NoError(t, err)
 		}
-		v, _ := r.Apply(Replace, body(x.versions+1))
+		v, _ := r.Apply(Replace, emptyConfig(x.versions+1))
 		must.Eq(t, Accepted, v)
 	}
 }
 
-func TestTable(t *testing.T) {
-	table := NewTable(first(t).Config())
+func TestTableLookups(t *testing.T) {
+	table := NewTable(newExampleRegister(t).Config())
 	for _, c := range []struct{ host, path, name string }{
 		{"ficu.example", "/lo/", "r-a"},
 		{"FICU.example:8080", "/lo/pu", "r-a"},
@@ -290,16 +290,16 @@
 
 	// Of a changed configuration, the routes that changed in nothing keep their key.
 	other := new(Config)
-	body := strings.Replace(whole, `"weight":90`, `"weight":9223372036854775807`, 1)
+	body := strings.Replace(exampleConfig, `"weight":90`, `"weight":9223372036854775807`, 1)
 	must.NoError(t, json.Unmarshal([]byte(body), other))
-	now := NewTable(other).Routes()
+	changedRoutes := NewTable(other).Routes()
 	for i, r := range table.Routes() {
-		must.Eq(t, i > 0, r.Key == now[i].Key)
+		must.Eq(t, i > 0, r.Key == changedRoutes[i].Key)
 	}
-	must.Positive(t, now[0].Targets[0].Weight)
-	must.Eq(t, Route{Name: "r-b", Host: "ficu.example", Prefix: "/lo/pu/", Effectful: true, Key: now[1].Key,
+	must.Positive(t, changedRoutes[0].Targets[0].Weight)
+	must.Eq(t, Route{Name: "r-b", Host: "ficu.example", Prefix: "/lo/pu/", Effectful: true, Key: changedRoutes[1].Key,
 		Deadline: DefaultDeadline, LatencyTarget: DefaultDeadline, MaxAttempts: DefaultMaxAttempts,
-		Targets: []Target{{"huvo", 1}}}, *now[1])
+		Targets: []Target{{"huvo", 1}}}, *changedRoutes[1])
 	_, ok = NewTable(nil).Route(host, path)
 	must.False(t, ok)
 }
--- a/internal/gateway/routing/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -59,21 +59,21 @@
 
 // forEachValue calls each for the values of the object or list that begins at i, in their order: with the name, or
 // "" in a list, and with the value's bounds.
-func forEachValue(b []byte, i int, each func(name string, from, to int)) {
+func forEachValue(b []byte, i int, visit func(name string, from, to int)) {
 	if i = skipSpace(b, i); i == len(b) || b[i] != '{' && b[i] != '[' {
 		return
 	}
-	named := b[i] == '{'
+	isObject := b[i] == '{'
 	for i = skipSpace(b, i+1); i < len(b) && b[i] != '}' && b[i] != ']'; {
 		name := ""
-		if named {
+		if isObject {
 			end := skipString(b, i)
 			name = unquote(b[i:end])
 			i = skipSpace(b, skipSpace(b, end)+1)
 		}
 		from := i
 		i = skipValue(b, i)
-		each(name, from, i)
+		visit(name, from, i)
 		if i = skipSpace(b, i); i < len(b) && b[i] == ',' {
 			i = skipSpace(b, i+1)
 		}
@@ -119,7 +119,7 @@
 	if depth > maxDepth {
 		return fieldError("", "nests more than %d deep", maxDepth)
 	}
-	var bad error
+	var firstErr error
 	var names []string
 	index := 0
 	forEachValue(b, i, func(name string, from, _ int) {
@@ -128,25 +128,25 @@
 		}
 		at := index
 		index++
-		if bad == nil && (b[from] == '{' || b[from] == '[') {
-			bad = checkStructure(b, from, depth+1, func() string { return joinPath(path(), name, at) })
+		if firstErr == nil && (b[from] == '{' || b[from] == '[') {
+			firstErr = checkStructure(b, from, depth+1, func() string { return joinPath(path(), name, at) })
 		}
 	})
 	slices.Sort(names)
-	for k := 1; k < len(names) && bad == nil; k++ {
+	for k := 1; k < len(names) && firstErr == nil; k++ {
 		if names[k] == names[k-1] {
-			bad = fieldError(joinPath(path(), names[k], 0), "named twice")
+			firstErr = fieldError(joinPath(path(), names[k], 0), "named twice")
 		}
 	}
-	return bad
+	return firstErr
 }
 
-// pathAt names the innermost value in the one at i that a reader was at when it had read offset bytes.
-func pathAt(b []byte, i, offset int, path string) string {
+// pathAtOffset names the innermost value in the one at i that a reader was at when it had read offset bytes.
+func pathAtOffset(b []byte, i, offset int, path string) string {
 	found, index := path, 0
 	forEachValue(b, i, func(name string, from, _ int) {
 		if from < offset {
-			found = pathAt(b, from, offset, joinPath(path, name, index))
+			found = pathAtOffset(b, from, offset, joinPath(path, name, index))
 		}
 		index++
 	})
--- a/internal/gateway/routing/stored.go
+++ b/internal/gateway/routing/stored.go
@@ -37,15 +37,15 @@
 
 // Restore makes the register of a snapshot. What was accepted once is not checked again: a later version may reject
 // more, but must not lose what is in force.
-func Restore(b []byte) (*Register, error) { return restore(b, logentry.DedupWindowBytes) }
+func Restore(b []byte) (*Register, error) { return restoreWithWindow(b, logentry.DedupWindowBytes) }
 
-// restore is Restore with a window of so many bytes.
-func restore(b []byte, window int) (*Register, error) {
+// restoreWithWindow is Restore with a window of so many bytes.
+func restoreWithWindow(b []byte, maxWindowBytes int) (*Register, error) {
 	var s snapshot
 	if err := logentry.Decode(b, &s, "read snapshot of the configuration"); err != nil {
 		return nil, err
 	}
-	accepted, err := s.dedupWindow(window)
+	accepted, err := s.dedupWindow(maxWindowBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -90,8 +90,8 @@
 // host holds the routes of a host by their prefix, and the lengths of these, longest first: a look-up tries
 // each length once, however many routes there are.
 type host struct {
-	routes  map[string]*Route
-	lengths []int
+	routes        map[string]*Route
+	prefixLengths []int
 }
 
 // NewTable builds the table of a checked configuration; of nil, one with no routes and the default limits.
@@ -102,7 +102,7 @@
 	}
 	t := &Table{
 		version:  c.Generation,
-		limits:   limitsOf(c.Limits),
+		limits:   newLimits(c.Limits),
 		hosts:    make(map[string]*host, len(c.Vhosts)),
 		keys:     make(map[string]*Tenant),
 		services: make(map[string]*Service, len(c.Services)),
@@ -156,32 +156,32 @@
 		t.hosts[name] = h
 	}
 	for i := range c.PathList {
-		r := routeOf(name, &c.PathList[i])
+		r := newRoute(name, &c.PathList[i])
 		if h.routes[r.Prefix] != nil {
 			continue
 		}
 		h.routes[r.Prefix] = r
 		t.routes = append(t.routes, r)
-		if !slices.Contains(h.lengths, len(r.Prefix)) {
-			h.lengths = append(h.lengths, len(r.Prefix))
+		if !slices.Contains(h.prefixLengths, len(r.Prefix)) {
+			h.prefixLengths = append(h.prefixLengths, len(r.Prefix))
 		}
 	}
-	slices.SortFunc(h.lengths, func(x, y int) int { return y - x })
+	slices.SortFunc(h.prefixLengths, func(x, y int) int { return y - x })
 }
 
-// routeOf fills in what a configuration leaves out of a route.
-func routeOf(host string, c *ConfigRoute) *Route {
+// newRoute fills in what a configuration leaves out of a route.
+func newRoute(host string, c *ConfigRoute) *Route {
 	r := &Route{
 		Name:        c.Name,
 		Host:        host,
 		Prefix:      c.PathPrefix,
 		Effectful:   c.Variant != Pure,
-		Deadline:    durationOr(c.Deadline, DefaultDeadline),
+		Deadline:    durationOrDefault(c.Deadline, DefaultDeadline),
 		Priority:    c.Priority,
 		MaxAttempts: c.MaxTries,
 		Public:      c.Public,
 	}
-	r.LatencyTarget = durationOr(c.TargetLatency, r.Deadline)
+	r.LatencyTarget = durationOrDefault(c.TargetLatency, r.Deadline)
 	if r.MaxAttempts <= 0 {
 		r.MaxAttempts = DefaultMaxAttempts
 	}
@@ -216,16 +216,16 @@
 	}
 }
 
-// limitsOf fills in what a configuration leaves out of the limits.
-func limitsOf(c *ConfigLimits) Limits {
+// newLimits fills in what a configuration leaves out of the limits.
+func newLimits(c *ConfigLimits) Limits {
 	if c == nil {
 		c = new(ConfigLimits)
 	}
 	l := Limits{
 		MaxHeaderBytes: c.MaxHeaderBytes,
 		MaxBodyBytes:   c.MaxBodyBytes,
-		HeaderTimeout:  durationOr(c.HeaderTimeout, DefaultHeaderTimeout),
-		IdleTimeout:    durationOr(c.IdleTimeout, DefaultIdleTimeout),
+		HeaderTimeout:  durationOrDefault(c.HeaderTimeout, DefaultHeaderTimeout),
+		IdleTimeout:    durationOrDefault(c.IdleTimeout, DefaultIdleTimeout),
 	}
 	if l.MaxHeaderBytes <= 0 {
 		l.MaxHeaderBytes = DefaultMaxHeaderBytes
@@ -261,7 +261,7 @@
 	if i := bytes.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	for _, n := range h.lengths {
+	for _, n := range h.prefixLengths {
 		if n > len(path) {
 			continue
 		}
--- a/internal/gateway/routing/testingknobs_release_test.go
+++ b/internal/gateway/routing/testingknobs_release_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// withoutDefence is empty: a release build has all defences.
-var withoutDefence = map[string]TestingKnobs{}
+// knobsByViolation is empty: a release build has all defences.
+var knobsByViolation = map[string]TestingKnobs{}
