--- a/internal/gateway/routing/deadlines.go
+++ b/internal/gateway/routing/deadlines.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// changedRoutes are the routes that a change brings, by Replace or Amend.
+// changedRoutes decodes the routes that a call sets: those of a Replace from Vhosts, those of an Amend from Upserts.
 type changedRoutes struct {
 	Vhosts  []ConfigHost `json:"vhosts"`
 	Upserts struct {
@@ -13,13 +13,13 @@
 	} `json:"upserts"`
 }
 
-// CheckDeadlines rejects a change that brings a route whose deadline is 0: each of its requests would time out before it
-// began. The leader checks it before it proposes the change. What the log holds is applied all the same: earlier versions
-// accepted such routes.
+// CheckDeadlines returns a *FieldError if a call sets a route whose deadline is 0. Each request on such a route would time out
+// before it began. The leader calls CheckDeadlines before it proposes a change. Entries of the log are applied without this
+// check, since earlier program versions accepted such routes. A body that is not valid JSON passes this check.
 func CheckDeadlines(body []byte) error {
 	var c changedRoutes
 	if json.Unmarshal(body, &c) != nil {
-		return nil // rejected where it is read
+		return nil // Register.Decide rejects this body
 	}
 	if err := checkHostDeadlines(c.Vhosts, ""); err != nil {
 		return err
@@ -27,6 +27,7 @@
 	return checkHostDeadlines(c.Upserts.Vhosts, "upserts.")
 }
 
+// checkHostDeadlines returns a *FieldError for the first route whose deadline is 0. The prefix goes before the path in the error.
 func checkHostDeadlines(hosts []ConfigHost, prefix string) error {
 	for i := range hosts {
 		for j := range hosts[i].PathList {
--- a/internal/gateway/routing/doc.go
+++ b/internal/gateway/routing/doc.go
@@ -1,35 +1,42 @@
-// Package routing holds the configurations of the gateway: what an operator sends is read, checked and folded from the
-// replicated log of changes into the one in force, and a Table is made of it that nodes route by.
+// Package routing holds the configuration of the gateway. It parses and validates the configurations and changes that operators
+// send. A Register applies them in the order of the replicated log. A Table indexes the configuration in force, and nodes route
+// requests by the table.
 //
 // # Terms
 //
-//   - Configuration: hosts with routes, services, tenants with API keys, and limits. Its types are generated from
-//     api/control.yaml.
-//   - Version, or generation: the number that an operator gives a configuration; versions in force go up.
-//   - Replace: a call with a complete configuration. Amend: a call that removes and upserts named items of the one in
-//     force. Both name the version that they build on, the parent.
-//   - Register: the configuration in force, with a window of the calls that were accepted.
-//   - Horizon: the version up to which that window has dropped digests.
+//   - Configuration: hosts with routes, services, tenants with API keys, and limits. The types of a configuration are generated
+//     from api/control.yaml.
+//   - Version, or generation: the number that an operator gives a configuration. Each configuration that comes into force has a
+//     higher version than the previous configuration.
+//   - Call: a request of an operator to change the configuration, by Replace or Amend.
+//   - Replace: a call with a complete configuration.
+//   - Amend: a call that removes and upserts named items of the configuration in force.
+//   - Parent: the version that a call builds on. Each call names its parent.
+//   - Register: the state machine that holds the configuration in force and a window of accepted calls.
+//   - Window of accepted calls: the digests of the calls that were accepted last, with their versions. It detects duplicates.
+//   - Horizon: the highest version whose digest was dropped from the window, 0 if none was dropped.
 //   - Table: the configuration in force with all defaults filled in, indexed for look-ups.
 //
 // # Guarantees
 //
-//   - Members that apply the same calls in the same order have equal registers.
-//   - Of two different calls that build on one version at most one is accepted.
-//   - The same bytes again are a Duplicate, as long as the window has their digest. At or below the horizon a call gets
-//     Ambiguous: it may have been accepted.
-//   - What was sent is kept as it was written: fields that this version does not know, the order of fields and the form
-//     of numbers come back unchanged.
-//   - An error of a body is a *FieldError with the path of the field, such as vhosts[0].path_list[2].variant.
-//   - A snapshot's configuration is not checked again: a version that rejects more must not lose what is in force.
+//   - Members of the cluster that apply the same calls in the same order have equal registers.
+//   - At most one of several different calls with the same parent is accepted.
+//   - A call that repeats the bytes of an accepted call is a Duplicate, as long as the window has the digest of these bytes.
+//     A call at or below the horizon whose digest is not in the window is Ambiguous, since it may have been accepted.
+//   - A configuration is kept as the operator wrote it. Unknown fields, the order of fields and the notation of numbers are
+//     returned unchanged.
+//   - An error in the body of a call is a *FieldError with the path of the field, such as vhosts[0].path_list[2].variant.
+//   - Restore does not validate the configuration of a snapshot. A program version with stricter validation must not lose the
+//     configuration in force.
 //
 // # What the package must not do
 //
-// It does no I/O, reads no clock and draws nothing at random. A check that an earlier version lacks goes before the
-// proposal, see CheckDeadlines: members of both versions must apply an entry of the log alike.
+// The package does no I/O, reads no clock and uses no random numbers. Members with different program versions must apply an
+// entry of the log alike. A check that earlier program versions lack therefore runs before a call is proposed, not when the
+// entry is applied. CheckDeadlines is such a check.
 package routing
 
 //go:generate go run github.com/oapi-codegen/oapi-codegen/v2/cmd/oapi-codegen@v2.8.2 -config ../../../api/routing.yaml ../../../api/control.yaml
 
-// The package comment that the generator writes goes, so that the one above stands alone.
+// Removes the package comment that the generator writes, since the package comment above replaces it.
 //go:generate sed -i -e 1,2d -e "s/DO NOT EDIT[.]/&\\n/" wire.gen.go
--- a/internal/gateway/routing/duration.go
+++ b/internal/gateway/routing/duration.go
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 )
 
-// ParseDuration reads a time as bodies and settings write it: a number followed by ms or s, such as "1500ms" or
-// "2.5s". Signs, spaces, other units and lengths beyond 292 years are errors.
+// ParseDuration parses a duration of a configuration: a decimal number followed by ms or s, such as "1500ms" or "2.5s". It
+// returns an error for signs, spaces, other units, and durations that overflow time.Duration (about 292 years).
 func ParseDuration(text string) (time.Duration, error) {
 	number, _ := strings.CutSuffix(text, "s")
 	if len(number) < len(text) {
@@ -20,7 +20,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		return 0, errors.Errorf("%q is too long a time", text)
+		return 0, errors.Errorf("%q is longer than the maximum of about 292 years", text)
 	}
 	return d, nil
 }
@@ -29,7 +29,7 @@
 	return text != "" && strings.Trim(text, "0123456789") == ""
 }
 
-// durationOrDefault reads a text that has been checked; what is left out or 0 is the default.
+// durationOrDefault parses a duration that has been validated. It returns defaultValue if the duration is omitted or 0.
 func durationOrDefault(text *string, defaultValue time.Duration) time.Duration {
 	if text == nil {
 		return defaultValue
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Names of fields, as readers compare them: without regard to case.
+// Names of fields in the JSON of a configuration. They are compared without regard to case.
 const (
 	fieldHosts    = "vhosts"
 	fieldHostname = "hostname"
@@ -15,11 +15,12 @@
 	fieldName     = "name"
 )
 
-// mergeChange gives the complete configuration that results from a change upon base, laid out as a Replace is. Both have been
-// read before. Removals come first, so that one change can move a route to another host.
+// mergeChange returns the complete configuration that results from applying a change to base, in the form of the body of a Replace.
+// Both arguments must be valid JSON; a nil base is an empty configuration. Removals are applied before upserts, so that one change can
+// move a route to another host.
 //
-// Lists of items that this version does not know are changed by name as well; what upserts holds that is no list replaces
-// the field of its name. Other fields beside upserts and removals are the call's own and are not taken over.
+// Lists of named items in unknown fields are merged by name as well. A field of upserts that is not a list replaces the field of the
+// same name. From the other fields of the change, only generation and parent_version are copied into the result.
 func mergeChange(base, change []byte) ([]byte, error) {
 	config := object{}
 	if base != nil {
@@ -32,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	removals, _ := readObject(call.get("removals")) // null or left out: none
+	removals, _ := readObject(call.get("removals")) // a null or omitted field has no entries
 	upserts, _ := readObject(call.get("upserts"))
 	emptied := map[string]bool{}
 	for _, e := range removals {
@@ -51,7 +52,7 @@
 	return config.encode(), nil
 }
 
-// applyRemoval carries out one list of names under removals. Hosts that it leaves without routes are noted in emptied.
+// applyRemoval removes the items that one field of removals names. It adds the hosts that lose their last route to emptied.
 func applyRemoval(config *object, removal objectField, emptied map[string]bool) {
 	var names []string
 	if json.Unmarshal(removal.value, &names) != nil || len(names) == 0 {
@@ -76,7 +77,7 @@
 	}
 }
 
-// applyUpsert carries out one field of upserts.
+// applyUpsert applies one field of upserts.
 func applyUpsert(config *object, e objectField) {
 	value := bytes.TrimSpace(e.value)
 	switch {
@@ -98,8 +99,8 @@
 	}
 }
 
-// removeEmptiedHosts takes out the hosts that removals left without routes, unless upserts gave them some. A host without routes
-// answers as one that is not there, and hosts that come and go would pile up.
+// removeEmptiedHosts removes the hosts that lost all routes by removals, unless upserts added routes to them. Requests to a host without
+// routes get the same answer as requests to an unknown host. Without this cleanup, such hosts would accumulate in the configuration.
 func removeEmptiedHosts(config *object, emptied map[string]bool) {
 	if len(emptied) == 0 {
 		return
@@ -109,7 +110,7 @@
 	config.set(fieldHosts, encodeItems(hosts))
 }
 
-// removeRoutes takes the named routes out of all hosts, and notes in emptied the hosts that it left without any.
+// removeRoutes removes the named routes from all hosts. It adds the hosts that lose their last route to emptied.
 func removeRoutes(raw json.RawMessage, names []string, emptied map[string]bool) json.RawMessage {
 	hosts := readItems(raw, fieldHostname)
 	for i := range hosts {
@@ -131,12 +132,13 @@
 	return encodeItems(hosts)
 }
 
+// hasRoutes reports whether a host has at least one route.
 func hasRoutes(host json.RawMessage) bool {
 	fields, err := readObject(host)
 	return err == nil && len(readItems(fields.get(fieldRoutes), fieldName)) > 0
 }
 
-// putHostRoutes adds a host, or puts its routes among those of the host that is there.
+// putHostRoutes appends a host. If the host exists, its routes are added or replaced by name, and its other fields are overwritten.
 func putHostRoutes(hosts []namedItem, it namedItem) []namedItem {
 	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == it.name })
 	if i < 0 {
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -10,8 +10,8 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// modelCalls of operators: two under one number, a change on top of it, a whole configuration on top of that, and one that is wrong in
-// itself. So often each may be sent.
+// modelCalls are the calls of the operators in the model: two different calls of the same generation, an Amend of their result, a
+// Replace with the result of the Amend as its parent, and a call that is invalid in every state. Each call is sent at most copies times.
 var modelCalls = []struct {
 	kind               Kind
 	generation, parent uint64
@@ -27,27 +27,29 @@
 
 const (
 	modelNodes  = 2
-	modelWindow = 1 // orders that are remembered
+	modelWindow = 1 // digests that the window of accepted calls holds
 )
 
-// modelState is how things stand: a log, who has folded how much of it, and what operators were told.
+// modelState is a state of the model: the replicated log, the part of the log that each node has applied, and the calls that were
+// rejected. Calls are numbered by their index in modelCalls.
 type modelState struct {
-	log            string               // committed, an order each
-	pending        string               // proposed, neither committed nor lost
-	remainingSends [8]int8              // how often each may still be sent
-	appliedCount   [modelNodes]int8     // folded by a node, which may be behind
-	snapshotIndex  [modelNodes + 1]int8 // restored from a snapshot there: nodes, then the leader
-	rejected       [8]bool              // for good: the version that it builds on was current before
+	log            string               // committed entries; each rune is the index of a call
+	pending        string               // proposed entries, neither committed nor lost
+	remainingSends [8]int8              // copies of each call that may still be sent
+	appliedCount   [modelNodes]int8     // log entries that each node has applied
+	snapshotIndex  [modelNodes + 1]int8 // log length of the last restored snapshot, by node; the leader is last
+	rejected       [8]bool              // calls that must not be accepted later: rejected when their parent was at or below the current version
 }
 
-// model plays all of it and judges by a register that forgets nothing.
+// model computes the successors of states and checks each answer against referenceState, which keeps all accepted calls.
 type model struct {
 	knobs     TestingKnobs
 	registers map[string]*Register
 	violation string
 }
 
-// foldedRegister is the register of one who restored a snapshot at from and folded the rest.
+// foldedRegister returns the register of a node that applied the log and restored its own snapshot after the first from entries. If
+// from is 0, the node restored no snapshot.
 func (m *model) foldedRegister(log string, from int8) *Register {
 	key := fmt.Sprint(log, from)
 	if r := m.registers[key]; r != nil {
@@ -65,7 +67,7 @@
 	return r
 }
 
-// referenceState is the version after a log, and which orders were taken.
+// referenceState returns the version after a log, and the calls that were accepted, in order. It never forgets an accepted call.
 func referenceState(log string) (version uint64, accepted []int) {
 	for _, o := range log {
 		d := modelCalls[o]
@@ -76,27 +78,27 @@
 	return version, accepted
 }
 
-// checkAnswer judges an answer to an order.
+// checkAnswer records a violation if the answer to a call contradicts the log.
 func (m *model) checkAnswer(w *modelState, o int, v Result) {
 	version, accepted := referenceState(w.log)
 	index, d := slices.Index(accepted, o), modelCalls[o]
 	switch {
 	case (v == Accepted || v == Duplicate) && index < 0:
-		m.violation = "confirmed, and not taken"
+		m.violation = "call was confirmed but not accepted"
 	case v != Accepted && v != Duplicate && index >= len(accepted)-modelWindow && index >= 0:
-		m.violation = "taken a moment ago, and not confirmed"
+		m.violation = "recently accepted call was not confirmed"
 	case (v == Conflict || v == Invalid) && index >= 0:
-		m.violation = "taken, and refused"
+		m.violation = "accepted call was rejected"
 	case (v == Conflict || v == Invalid) && d.parent == version && d.generation > version:
-		m.violation = "valid on the newest state, and refused"
+		m.violation = "call valid in the newest state was rejected"
 	case v == Ambiguous && (len(accepted) <= modelWindow || d.generation > modelCalls[accepted[len(accepted)-modelWindow-1]].generation):
-		m.violation = "left unclear, and nothing so old is forgotten"
+		m.violation = "call above the horizon was ambiguous"
 	case v == Conflict || v == Invalid:
 		w.rejected[o] = w.rejected[o] || d.parent <= version
 	}
 }
 
-// successors is every world that may follow.
+// successors returns every state that can follow a state in one step.
 func (m *model) successors(w modelState) (all []modelState) {
 	addSuccessor := func(do func(w *modelState)) {
 		next := w
@@ -119,13 +121,13 @@
 		}
 	}
 	if w.pending != "" {
-		addSuccessor(func(w *modelState) { w.pending = "" }) // another leads, who had none of it; nobody is told
+		addSuccessor(func(w *modelState) { w.pending = "" }) // a new leader lacks the proposed entries; operators get no answer
 		addSuccessor(func(w *modelState) {
 			o := int(w.pending[0])
 			v, _ := m.foldedRegister(w.log, w.snapshotIndex[modelNodes]).Decide(modelCalls[o].kind, []byte(modelCalls[o].body))
 			w.log, w.pending = w.log+w.pending[:1], w.pending[1:]
 			if v == Accepted && w.rejected[o] {
-				m.violation = "refused, and taken"
+				m.violation = "rejected call was accepted later"
 			}
 			m.checkAnswer(w, o, v)
 		})
@@ -135,7 +137,7 @@
 			addSuccessor(func(w *modelState) { w.appliedCount[i]++ })
 		}
 		if w.snapshotIndex[i] != w.appliedCount[i] {
-			addSuccessor(func(w *modelState) { w.snapshotIndex[i] = w.appliedCount[i] }) // it starts anew, from its snapshot
+			addSuccessor(func(w *modelState) { w.snapshotIndex[i] = w.appliedCount[i] }) // the node restarts from its snapshot
 		}
 	}
 	if int(w.snapshotIndex[modelNodes]) != len(w.log) {
@@ -144,7 +146,8 @@
 	return all
 }
 
-// exploreStates goes through so many worlds, breadth first, until something is broken.
+// exploreStates visits up to maxStates states, breadth first, until it finds a violation. It returns the number of states that it
+// found and the violation, "" if there is none.
 func exploreStates(knobs TestingKnobs, maxStates int) (stateCount int, violation string) {
 	m := &model{knobs: knobs, registers: map[string]*Register{}}
 	initial := modelState{}
@@ -165,15 +168,16 @@
 	return len(visited), m.violation
 }
 
-// Copies of orders come in all orders, through nodes that are behind, around leaders that are lost, before and after snapshots:
-// of two under one number one is taken, what was taken is confirmed or left unclear, and what was refused stays out.
+// Guards against lost and duplicate configuration changes. The model sends copies of calls in every order through nodes that lag behind,
+// and loses leaders and restores snapshots in between. One of two calls with the same generation is accepted, an accepted call is
+// confirmed or ambiguous, and a rejected call is never accepted later.
 func TestModelOfConfigurationCalls(t *testing.T) {
 	stateCount, violation := exploreStates(TestingKnobs{}, 150_000)
 	must.Eq(t, "", violation)
-	t.Log(stateCount, "worlds")
+	t.Log(stateCount, "states explored")
 	for want, knobs := range knobsByViolation {
 		stateCount, violation := exploreStates(knobs, 150_000)
 		must.Eq(t, want, violation)
-		t.Logf("%q found after %d worlds", want, stateCount)
+		t.Logf("violation %q found after states=%d", want, stateCount)
 	}
 }
--- a/internal/gateway/routing/object.go
+++ b/internal/gateway/routing/object.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 )
 
-// object is a JSON object whose values stay as they were written: unknown fields, the order of fields and
-// the form of numbers go through a change unharmed.
+// object is a JSON object that keeps its values as they were written. Changes to an object preserve unknown fields, the order of
+// fields and the notation of numbers.
 type object []objectField
 
 // objectField is a field of an object.
@@ -19,20 +19,23 @@
 	value json.RawMessage
 }
 
+// readObject splits valid JSON into the fields of an object. It returns an error if the JSON is not an object.
 func readObject(raw []byte) (object, error) {
 	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '{' {
-		return nil, errors.New("not an object")
+		return nil, errors.New("JSON value is not an object")
 	}
 	var o object
 	forEachValue(raw, 0, func(name string, from, to int) { o = append(o, objectField{name, raw[from:to:to]}) })
 	return o, nil
 }
 
-// fieldIndex finds a field as encoding/json would, so that what is read and what is kept never differ.
+// fieldIndex returns the index of a field, -1 if there is none. It ignores case as encoding/json does. Otherwise the parsed
+// configuration could differ from the stored JSON.
 func (o object) fieldIndex(name string) int {
 	return slices.IndexFunc(o, func(e objectField) bool { return strings.EqualFold(e.name, name) })
 }
 
+// get returns the value of a field, nil if there is none.
 func (o object) get(name string) json.RawMessage {
 	if i := o.fieldIndex(name); i >= 0 {
 		return o[i].value
@@ -40,6 +43,7 @@
 	return nil
 }
 
+// set replaces the value of a field, or appends the field.
 func (o *object) set(name string, value json.RawMessage) {
 	if i := o.fieldIndex(name); i >= 0 {
 		(*o)[i].value = value
@@ -48,6 +52,7 @@
 	*o = append(*o, objectField{name, value})
 }
 
+// encode returns the object as JSON.
 func (o object) encode() json.RawMessage {
 	var out bytes.Buffer
 	out.WriteByte('{')
@@ -55,7 +60,7 @@
 		if i > 0 {
 			out.WriteByte(',')
 		}
-		name, _ := json.Marshal(e.name) // a string always has a form in JSON
+		name, _ := json.Marshal(e.name) // encoding a string never fails
 		out.Write(name)
 		out.WriteByte(':')
 		out.Write(e.value)
@@ -64,13 +69,14 @@
 	return out.Bytes()
 }
 
-// namedItem is one of a list, as it is written, and the name that it goes by.
+// namedItem is an element of a list, with its JSON and the value of its name field. The name is empty if the field is missing.
 type namedItem struct {
 	name string
 	raw  json.RawMessage
 }
 
-// readItems reads a list of named items; what is no list, or is left out, holds none.
+// readItems returns the items of a list. The name of an item is the value of the field key. Host names are converted to lower case.
+// It returns no items if the JSON is empty or not a list.
 func readItems(raw json.RawMessage, key string) []namedItem {
 	if i := skipSpace(raw, 0); i == len(raw) || raw[i] != '[' {
 		return nil
@@ -91,6 +97,7 @@
 	return items
 }
 
+// encodeItems returns the items as a JSON list.
 func encodeItems(items []namedItem) json.RawMessage {
 	var out bytes.Buffer
 	out.WriteByte('[')
@@ -104,7 +111,7 @@
 	return out.Bytes()
 }
 
-// putItem adds an item, or replaces the first of its name and drops the others.
+// putItem appends an item. If items with the same name exist, it replaces the first of them and removes the others.
 func putItem(items []namedItem, it namedItem) []namedItem {
 	hasSameName := func(o namedItem) bool { return o.name == it.name }
 	i := slices.IndexFunc(items, hasSameName)
@@ -115,7 +122,7 @@
 	return append(items[:i+1], slices.DeleteFunc(items[i+1:], hasSameName)...)
 }
 
-// removeItems takes the items with these names out.
+// removeItems removes the items with the given names.
 func removeItems(items []namedItem, names []string) []namedItem {
 	return slices.DeleteFunc(items, func(it namedItem) bool { return slices.Contains(names, it.name) })
 }
--- a/internal/gateway/routing/read.go
+++ b/internal/gateway/routing/read.go
@@ -13,17 +13,17 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// latencySlack is how far a route's target_latency stays below over its deadline (PROTOCOL.md, "The
+// latencySlack bounds target_latency of a route: target_latency must be less than the deadline plus latencySlack (PROTOCOL.md, "The
 // operator").
 const latencySlack = time.Minute
 
-// FieldError is why a body was rejected, and where in it.
+// FieldError is an error in the body of a call, with the path of the field.
 type FieldError struct {
-	Path   string // such as vhosts[0].path_list[2].variant; empty where it is the body itself
-	Reason string // in words
+	Path   string // such as vhosts[0].path_list[2].variant; empty if the error is about the whole body
+	Reason string // what is wrong with the field, as a text for operators
 }
 
-// Error gives the path and the reason.
+// Error returns the path and the reason.
 func (f *FieldError) Error() string {
 	if f.Path == "" {
 		return f.Reason
@@ -31,12 +31,13 @@
 	return f.Path + ": " + f.Reason
 }
 
+// fieldError returns a *FieldError with a formatted reason.
 func fieldError(path, format string, args ...any) error {
 	return &FieldError{Path: path, Reason: errors.Errorf(format, args...).Error()}
 }
 
-// ReadConfig reads and checks a complete configuration as Config.Replace carries it. Its errors are *FieldError. That
-// its generation is above the current one is for the Register to say.
+// ReadConfig parses and validates the complete configuration in the body of Config.Replace. Its errors are of type *FieldError.
+// ReadConfig does not compare the generation with the configuration in force; the Register does.
 func ReadConfig(body []byte) (*Config, error) {
 	b := new(Config)
 	if err := decodeBody(body, b); err != nil {
@@ -45,8 +46,8 @@
 	return b, validate(b)
 }
 
-// ReadAmendment reads a change as Config.Amend carries it, and checks its items each by itself. Its errors
-// are *FieldError.
+// ReadAmendment parses the change in the body of Config.Amend, and validates each item on its own. It does not check references between
+// items. Its errors are of type *FieldError.
 func ReadAmendment(body []byte) (*Amendment, error) {
 	a := new(Amendment)
 	if err := decodeBody(body, a); err != nil {
@@ -55,7 +56,7 @@
 	return a, validate(a)
 }
 
-// decodeBody fills into from one JSON object and nothing after it.
+// decodeBody parses a body into a value. The body must be a single JSON object without trailing data.
 func decodeBody(body []byte, into any) error {
 	if !utf8.Valid(body) {
 		return fieldError("", "the body is not UTF-8")
@@ -69,18 +70,19 @@
 	if err != nil && !errors.As(err, &typeErr) {
 		return fieldError("", "%s", err)
 	}
-	// The body is valid JSON.
+	// Here the body is valid JSON, as checkStructure requires.
 	if structureErr := checkStructure(body, start, 1, func() string { return "" }); structureErr != nil {
 		return structureErr
 	}
 	if typeErr != nil {
 		path := pathAtOffset(body, start, int(typeErr.Offset), "")
-		return fieldError(path, "a %s cannot be a %s", typeErr.Value, typeErr.Type)
+		return fieldError(path, "JSON %s cannot be converted to %s", typeErr.Value, typeErr.Type)
 	}
 	return nil
 }
 
-// validate checks what was read by its tags and by the rules below.
+// validate checks a parsed value by its validate tags, by validateRoute and by validateServiceNames. It returns a *FieldError for the
+// first violation.
 func validate(v any) error {
 	err := sharedValidator().Struct(v)
 	if err == nil {
@@ -94,6 +96,7 @@
 	return fieldError(path, "%s", describeViolation(violations[0]))
 }
 
+// describeViolation returns the reason for a field that breaks a rule.
 func describeViolation(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
@@ -107,15 +110,16 @@
 	case "span":
 		return "must be a number followed by ms or s"
 	case "latency":
-		return "a minute or more over the deadline"
+		return "must be less than the deadline plus one minute"
 	case "weights":
-		return "the weights add up to 0"
+		return "the sum of the weights must be above 0"
 	case "service":
-		return "there is no service " + strconv.Quote(e.Param())
+		return "unknown service " + strconv.Quote(e.Param())
 	}
-	return "breaks the rule " + e.Tag()
+	return "violates the validation rule " + e.Tag()
 }
 
+// sharedValidator returns the validator of all configurations, which is built at the first use.
 var sharedValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -126,17 +130,18 @@
 		_, err := ParseDuration(fl.Field().String())
 		return err == nil
 	}); err != nil {
-		panic(err) // only an empty tag or function is an error
+		panic(err) // RegisterValidation fails only for an empty tag or a nil function
 	}
 	v.RegisterStructValidation(validateRoute, ConfigRoute{})
 	v.RegisterStructValidation(validateServiceNames, Config{})
 	return v
 })
 
+// validateRoute checks that the sum of the weights of a route is above 0, and that its target_latency is below its limit.
 func validateRoute(sl validator.StructLevel) {
 	r := sl.Current().Interface().(ConfigRoute)
 	if len(r.WeightedTargets) > 0 {
-		sum := 0.0 // integers could wrap around to 0
+		sum := 0.0 // a sum of integers could overflow to 0
 		for _, t := range r.WeightedTargets {
 			sum += float64(t.Weight)
 		}
@@ -154,6 +159,7 @@
 	}
 }
 
+// validateServiceNames checks that the configuration defines each service that a route names.
 func validateServiceNames(sl validator.StructLevel) {
 	b := sl.Current().Interface().(Config)
 	serviceNames := make(map[string]bool, len(b.Services))
@@ -170,7 +176,7 @@
 					sl.ReportError(t.Target, at, "Target", "service", t.Target)
 				}
 			}
-			// A route without any target names no service at all, which is rejected as an unknown one is.
+			// A route without any target is reported as a route to the unknown service "".
 			if (r.Target != "" || len(r.WeightedTargets) == 0) && !serviceNames[r.Target] {
 				sl.ReportError(r.Target, path+"target", "Target", "service", r.Target)
 			}
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -8,56 +8,58 @@
 	"clovergap/internal/invariant"
 )
 
-// Kind tells the two calls that change the configuration.
+// Kind is the kind of a call that changes the configuration.
 type Kind int
 
-// The calls: a complete configuration, or a change of named items.
+// The kinds of calls.
 const (
-	Replace Kind = iota
-	Amend
+	Replace Kind = iota // sets a complete configuration
+	Amend               // removes and upserts named items of the configuration in force
 )
 
-// Result is what becomes of a call.
+// Result is the result of a call.
 type Result int
 
-// The results, with the status that each stands for.
+// The results of a call, with the status code that the operator gets.
 const (
-	Accepted  Result = iota // 200: in force now
-	Duplicate               // 200: these bytes were accepted before
-	Conflict                // 412: another version is current
-	Invalid                 // 400
-	Ambiguous               // 503: it may have been accepted so long ago that its digest is dropped
+	Accepted  Result = iota // 200: the call is accepted, and its configuration comes into force
+	Duplicate               // 200: a call with the same bytes was accepted before
+	Conflict                // 412: the parent is not the version in force
+	Invalid                 // 400: the call is malformed or breaks a rule
+	Ambiguous               // 503: the call may have been accepted, but its digest would no longer be in the window
 )
 
-// String gives the name of a result in the log.
+// String returns the name of the result in log lines.
 func (r Result) String() string {
 	return [...]string{"taken", "already", "conflict", "invalid", "unclear"}[r]
 }
 
+// callDigest returns the digest of a call. A Replace and an Amend with the same body have different digests.
 func callDigest(k Kind, body []byte) logentry.Digest { return logentry.DigestOf([]byte{byte(k)}, body) }
 
-// Register is the configuration in force, folded from the replicated log of calls: members that apply the same calls in the
-// same order have equal registers. It is not safe for concurrent use.
+// Register holds the configuration in force, which results from the calls in the replicated log. Members of the cluster that apply
+// the same calls in the same order have equal registers. A Register is not safe for concurrent use.
 type Register struct {
 	version  uint64
 	body     []byte
 	config   *Config
-	accepted *logentry.DedupWindow // by version
+	accepted *logentry.DedupWindow // digests of accepted calls, by version
 
-	// The last call decided since the register changed: a node decides a call and then applies it.
+	// The digest and the decision of the last call decided since the register changed. A node decides a call and then applies it, so
+	// that Apply can reuse the decision. lastDecision is nil if no call was decided since then.
 	lastDigest   logentry.Digest
 	lastDecision *decision
 
 	knobs TestingKnobs
 }
 
-// decision is what becomes of a call in the register's present state.
+// decision is the decision on a call in the current state of the register.
 type decision struct {
 	result Result
 	err    error
-	final  bool   // it will be so in every later state
-	body   []byte // these only where accepted
-	config *Config
+	final  bool    // every later state gives the same result
+	body   []byte  // the complete configuration as JSON; nil unless the call is accepted
+	config *Config // the parsed body; nil unless the call is accepted
 }
 
 // NewRegister returns a register in which no configuration is in force.
@@ -65,34 +67,36 @@
 	return &Register{accepted: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
 }
 
-// Decide tells what would become of a call now, and changes nothing. The error is nil where it would be accepted or was
-// before, else a *FieldError.
+// Decide returns the result that Apply would return for a call, without changing the register. The error is nil if the result is
+// Accepted or Duplicate, and a *FieldError otherwise.
 func (r *Register) Decide(k Kind, body []byte) (Result, error) {
 	d := r.cachedDecision(callDigest(k, body), k, body)
 	return d.result, d.err
 }
 
-// DecideFinal is as Decide, and tells besides whether the result is the same in every later state: a node that is behind may
-// answer by that, and by nothing else.
+// DecideFinal returns the same as Decide, and whether every later state gives the same result. A node that lags behind the replicated
+// log may answer a call from its own state only if the result is final.
 func (r *Register) DecideFinal(k Kind, body []byte) (result Result, err error, final bool) {
 	d := r.cachedDecision(callDigest(k, body), k, body)
 	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
 
-// Apply carries out a call, as Decide tells it. The body is copied.
+// Apply decides a call and puts its configuration into force if the call is accepted. It returns the same as Decide. The body is
+// copied.
 func (r *Register) Apply(k Kind, body []byte) (Result, error) {
 	digest := callDigest(k, body)
 	d := r.cachedDecision(digest, k, body)
 	if d.result != Accepted {
 		return d.result, d.err
 	}
-	invariant.Assert(d.config.Generation > r.version, "versions of the configuration go up")
+	invariant.Assert(d.config.Generation > r.version, "generation of an accepted configuration is above the version in force")
 	r.version, r.body, r.config = d.config.Generation, d.body, d.config
 	r.accepted.Add(r.version, digest)
 	r.lastDecision = nil
 	return Accepted, nil
 }
 
+// cachedDecision returns lastDecision if it is about the same call. Otherwise it evaluates the call and stores the decision.
 func (r *Register) cachedDecision(digest logentry.Digest, k Kind, body []byte) *decision {
 	if r.lastDecision == nil || r.lastDigest != digest {
 		d := r.evaluateCall(digest, k, body)
@@ -101,8 +105,9 @@
 	return r.lastDecision
 }
 
+// evaluateCall returns the decision on a call in the current state.
 func (r *Register) evaluateCall(d logentry.Digest, k Kind, body []byte) decision {
-	// The digest covers the generation that the body names.
+	// A digest in the window identifies one accepted call, since the digest covers the generation that the body names.
 	if r.accepted.Has(d) {
 		return decision{result: Duplicate, final: true}
 	}
@@ -124,7 +129,7 @@
 		if complete, config, err = r.mergeAmendment(body); err != nil {
 			return decision{result: Invalid, err: err}
 		}
-		invariant.Assert(config.Generation == c.generation, "what results has the change's generation")
+		invariant.Assert(config.Generation == c.generation, "result of an Amend has the generation of the call")
 	}
 	if err = validate(config); err != nil {
 		return decision{result: Invalid, err: err, final: k == Replace}
@@ -132,8 +137,9 @@
 	return decision{result: Accepted, body: complete, config: config}
 }
 
-// checkHorizon rejects a call at or below the horizon of the window: it may have been accepted. It is not read any
-// further, since a later version may reject more.
+// checkHorizon returns a *FieldError if the generation of a call is at or below the horizon, since the call may have been accepted.
+// Such a call is not validated, since this program version may reject more than the version that accepted the call. A body whose
+// generation cannot be read passes this check.
 func (r *Register) checkHorizon(body []byte) error {
 	horizon := r.accepted.Horizon()
 	if horizon == 0 || r.knobs.ignoreHorizon() {
@@ -143,17 +149,18 @@
 	if json.Unmarshal(body, &call); call.Generation == 0 || call.Generation > horizon {
 		return nil
 	}
-	return fieldError("generation", "is %d, and of %d and below it is not known any more what was taken: read what is in force",
+	return fieldError("generation", "is %d; calls of generation %d and below may have been accepted: read the configuration in force",
 		call.Generation, horizon)
 }
 
-// change is what is read of a call by itself.
+// change is a parsed call. It does not depend on the state of the register.
 type change struct {
 	generation uint64
 	parent     uint64
-	config     *Config // of a Replace; not validated yet
+	config     *Config // the configuration of a Replace, not validated yet; nil for an Amend
 }
 
+// readChange parses a call. It validates the items of an Amend, but not the configuration of a Replace.
 func readChange(k Kind, body []byte) (change, error) {
 	switch k {
 	case Replace:
@@ -169,39 +176,41 @@
 		}
 		return change{a.Generation, a.ParentVersion, nil}, nil
 	}
-	return change{}, fieldError("", "no such call")
+	return change{}, fieldError("", "unknown kind of call")
 }
 
-// checkGeneration tells whether a call names a version above the one that it builds on.
+// checkGeneration returns a *FieldError if the generation of a call is missing or not above its parent.
 func (c *change) checkGeneration() error {
 	switch {
 	case c.generation == 0:
 		return fieldError("generation", "missing")
 	case c.generation <= c.parent:
-		return fieldError("generation", "is %d, not above %d", c.generation, c.parent)
+		return fieldError("generation", "is %d, not above parent_version %d", c.generation, c.parent)
 	}
 	return nil
 }
 
-// mergeAmendment gives the complete configuration that results from an Amend.
+// mergeAmendment returns the complete configuration that results from an Amend, as JSON and parsed. The configuration is not
+// validated.
 func (r *Register) mergeAmendment(body []byte) ([]byte, *Config, error) {
 	complete, err := mergeChange(r.body, body)
 	if err != nil {
-		return nil, nil, fieldError("", "what results can't be read: %s", err)
+		return nil, nil, fieldError("", "merge of the change into the configuration in force failed: %s", err)
 	}
 	config := new(Config)
 	if err := json.Unmarshal(complete, config); err != nil {
-		return nil, nil, fieldError("", "what results can't be read: %s", err)
+		return nil, nil, fieldError("", "configuration that results from the change cannot be parsed: %s", err)
 	}
 	return complete, config, nil
 }
 
-// Version is the generation in force, 0 if there is none.
+// Version returns the generation of the configuration in force, 0 if there is none.
 func (r *Register) Version() uint64 { return r.version }
 
-// Body is the complete configuration in force, for Config.Read: the bytes of a Replace as they came, or what resulted from
-// an Amend, under that call's generation and parent_version. Nil if there is none; not to be changed.
+// Body returns the complete configuration in force as JSON, for the call Config.Read. After a Replace it is the body of the call,
+// byte for byte. After an Amend it is the merged configuration with the generation and parent_version of the call. Body returns nil
+// if there is no configuration. Callers must not modify the result.
 func (r *Register) Body() []byte { return r.body }
 
-// Config is the configuration in force as it was read, nil if there is none; not to be changed.
+// Config returns the parsed configuration in force, nil if there is none. Callers must not modify the result.
 func (r *Register) Config() *Config { return r.config }
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -15,7 +15,7 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// exampleConfig is the page's example with fields that this program does not know and numbers in several forms.
+// exampleConfig is the example of PROTOCOL.md, with additional unknown fields and with numbers in several notations.
 const exampleConfig = `{"generation":7, "services":[{"name":"huvo","health_path":"/health","max_conns":130},
 {"name":"wuno"}],"limits":{"max_header_bytes":16384,"idle_timeout":"2.5s"},"note":{"x":1.50e2},
 "tenants":[{"name":"huka","api_keys":["k1","k2"],"priority":1,"rate_per_s":47,"burst":4.0}],
@@ -27,6 +27,7 @@
 {"hostname":"other.example","path_list":[
 {"name":"r-c","path_prefix":"/","variant":"pure","target":"wuno"}]}]}`
 
+// newExampleRegister returns a register with exampleConfig in force.
 func newExampleRegister(t *testing.T) *Register {
 	t.Helper()
 	r := NewRegister()
@@ -36,6 +37,7 @@
 	return r
 }
 
+// mustAmend applies an Amend that must be accepted.
 func mustAmend(t *testing.T, r *Register, change string) {
 	t.Helper()
 	v, err := r.Apply(Amend, []byte(change))
@@ -43,6 +45,7 @@
 	must.Eq(t, Accepted, v)
 }
 
+// Guards against errors without the path of the invalid field, and against invalid configurations that are accepted.
 func TestErrorsNameTheInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, replacement, wantPath string }{
 		{`"generation":7`, `"generation":0`, "generation"},
@@ -104,6 +107,7 @@
 	}
 }
 
+// Guards against validation that rejects unusual but valid configurations, such as routes without a name or with equal prefixes.
 func TestEdgeCaseConfigsAreAccepted(t *testing.T) {
 	for old, now := range map[string]string{
 		`"600ms"`:        `"61.499s"`,
@@ -128,8 +132,8 @@
 func TestAmendMergesNamedItems(t *testing.T) {
 	r := newExampleRegister(t)
 	must.Eq(t, exampleConfig, string(r.Body()))
-	// A route is replaced in its place, one is added, one removed; a host is emptied and goes, a key is
-	// taken away; a field that nobody knows stays as it was written.
+	// The change replaces r-a at its position, adds r-n, and removes r-b and r-c. The host of r-c has no routes left and is removed. The
+	// tenant loses a key. Unknown fields stay as they were written.
 	mustAmend(t, r, `{"generation":9,"parent_version":7,"removals":{"routes":["r-b","r-c","r-old"],"services":[]},
 		"upserts":{"services":[{"name":"new"},{"name":"wuno","odd":1.0}],
 		"tenants":[{"name":"huka","api_keys":["k2"]}],
@@ -146,10 +150,10 @@
 		`{"name":"r-n","path_prefix":"/n/","variant":"pure","target":"new"}]}]}`, string(r.Body()))
 
 	v, err := r.Decide(Amend, []byte(`{"generation":11,"parent_version":9,"removals":{"services":["new"]}}`))
-	must.Eq(t, Invalid, v) // r-n still names it
+	must.Eq(t, Invalid, v) // route r-n still uses the service
 	must.StrHasPrefix(t, "vhosts[0].path_list[1].target: ", err.Error())
 
-	// One change moves a route to a new host; what upserts holds that is no list replaces the field.
+	// The change moves a route to a new host. A field of upserts that is not a list replaces the field of the configuration.
 	mustAmend(t, r, `{"generation":11,"parent_version":9,"removals":{"routes":["r-n"],"services":["new"]},
 		"upserts":{"generation":99,"limits":{"max_body_bytes":5},"vhosts":[{"hostname":"b","path_list":[
 		{"name":"r-n","path_prefix":"/","variant":"pure","target":"wuno"}]}]}}`)
@@ -179,10 +183,10 @@
 	must.Eq(t, Invalid, decideAndApply(Replace, emptyConfig(7, 7)))
 	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 5)))
 	must.Eq(t, Accepted, decideAndApply(Amend, emptyConfig(9, 7)))
-	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(11, 7)))       // lost the race
-	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 7)))      // the same bytes of another call
-	must.Eq(t, Duplicate, decideAndApply(Amend, emptyConfig(9, 7)))       // sent again
-	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig))) // sent again late
+	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(11, 7)))       // another call with this parent was accepted
+	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 7)))      // the same body, but Replace instead of Amend
+	must.Eq(t, Duplicate, decideAndApply(Amend, emptyConfig(9, 7)))       // a repeated call
+	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig))) // a call repeated after later changes
 	must.Eq(t, 9, r.Version())
 	for g := 10; g < 5010; g++ {
 		must.Eq(t, Accepted, decideAndApply(Replace, emptyConfig(g, g-1)))
@@ -193,7 +197,7 @@
 	}
 	must.LessEq(t, 8010-4096, r.accepted.Horizon())
 	must.LessEq(t, logentry.DedupWindowBytes+10, len(r.accepted.Bytes()))
-	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(exampleConfig))) // forgotten
+	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(exampleConfig))) // its digest was dropped from the window
 	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(`{"generation":8,"vhosts":3}`)))
 	must.Eq(t, Invalid, decideAndApply(Replace, []byte("{")))
 	horizon := int(r.accepted.Horizon())
@@ -203,7 +207,8 @@
 	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(8010, horizon)))
 }
 
-// A member that starts from a snapshot anywhere in the log comes to the same as one that folded all of it.
+// Guards against members whose registers diverge. A member that restores snapshots at random positions of the log must have the same
+// register as a member that applied the whole log.
 func TestSnapshotsKeepRegistersEqual(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	a, b := NewRegister(), NewRegister()
@@ -227,13 +232,13 @@
 	must.Error(t, err)
 }
 
-// The snapshot of a program that kept the digests of the last 256 changes: these are known on, and of what it may have forgotten
-// nothing is refused.
+// Guards against a wrong answer to a repeated call after an upgrade. Earlier program versions stored the digests of the last 256 calls in
+// a snapshot. Repeats of these calls must be duplicates, and calls whose digests may have been dropped must not be rejected.
 func TestRestoreLegacySnapshot(t *testing.T) {
 	emptyConfig := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
 	for _, x := range []struct {
 		versions int
-		want     Result
+		want     Result // of a call whose digest is not in the snapshot
 	}{{200, Conflict}, {300, Ambiguous}} {
 		legacy := snapshot{Body: emptyConfig(x.versions)}
 		for v := max(1, x.versions-legacyAcceptedCount+1); v <= x.versions; v++ {
@@ -288,7 +293,7 @@
 	host, path, key := []byte("Ficu.example"), []byte("/lo/pu/x?y"), []byte("k1")
 	must.Eq(t, 0, testing.AllocsPerRun(100, func() { table.Route(host, path); table.Tenant(key) }))
 
-	// Of a changed configuration, the routes that changed in nothing keep their key.
+	// Only the route that differs between the two configurations gets a new key.
 	other := new(Config)
 	body := strings.Replace(exampleConfig, `"weight":90`, `"weight":9223372036854775807`, 1)
 	must.NoError(t, json.Unmarshal([]byte(body), other))
--- a/internal/gateway/routing/scan.go
+++ b/internal/gateway/routing/scan.go
@@ -9,11 +9,12 @@
 	"unicode/utf8"
 )
 
-// The functions here take JSON that is known to be valid, and return parts of it without copies.
+// The functions of this file expect valid JSON. They return parts of the JSON without copying them.
 
-// maxDepth bounds how deep a body nests; a configuration has six levels.
+// maxDepth is the maximum nesting depth of a body. A configuration has six levels.
 const maxDepth = 64
 
+// skipSpace returns the offset of the first byte at or after i that is not white space.
 func skipSpace(b []byte, i int) int {
 	for i < len(b) && (b[i] == ' ' || b[i] == '\n' || b[i] == '\t' || b[i] == '\r') {
 		i++
@@ -21,6 +22,7 @@
 	return i
 }
 
+// skipString returns the offset after the string that begins at i.
 func skipString(b []byte, i int) int {
 	for i++; i < len(b) && b[i] != '"'; i++ {
 		if b[i] == '\\' {
@@ -30,7 +32,7 @@
 	return i + 1
 }
 
-// skipValue gives the offset after the value that begins at i.
+// skipValue returns the offset after the value that begins at i.
 func skipValue(b []byte, i int) int {
 	for depth := 0; i < len(b); {
 		switch b[i] {
@@ -57,8 +59,8 @@
 	return i
 }
 
-// forEachValue calls each for the values of the object or list that begins at i, in their order: with the name, or
-// "" in a list, and with the value's bounds.
+// forEachValue calls visit for each value of the object or list that begins at i, in order. The name is the name of the field, or ""
+// in a list. The value begins at offset from and ends before offset to.
 func forEachValue(b []byte, i int, visit func(name string, from, to int)) {
 	if i = skipSpace(b, i); i == len(b) || b[i] != '{' && b[i] != '[' {
 		return
@@ -80,7 +82,7 @@
 	}
 }
 
-// unquote reads a text between its quotes; what is no text is empty.
+// unquote returns the content of a JSON string. It returns "" if the JSON is not a string.
 func unquote(raw []byte) string {
 	if len(raw) < 2 || raw[0] != '"' {
 		return ""
@@ -89,20 +91,21 @@
 		return string(raw[1 : len(raw)-1])
 	}
 	var text string
-	_ = json.Unmarshal(raw, &text) // it is valid
+	_ = json.Unmarshal(raw, &text) // raw is valid JSON
 	return text
 }
 
-// foldName makes names equal that encoding/json takes for the same field.
+// foldName returns the same text for all names that encoding/json accepts for the same field.
 func foldName(name string) string {
 	for i := range len(name) {
 		if name[i] >= utf8.RuneSelf {
-			return strings.ToLower(strings.ToUpper(name)) // some letters have two lower forms
+			return strings.ToLower(strings.ToUpper(name)) // several letters can share one upper-case letter
 		}
 	}
 	return strings.ToLower(name)
 }
 
+// joinPath returns the path of a child value. The child is the field name of an object, or the element index of a list if name is "".
 func joinPath(path, name string, index int) string {
 	switch {
 	case name == "":
@@ -113,11 +116,12 @@
 	return path + "." + name
 }
 
-// checkStructure rejects what nests too deep, and objects that name a field twice: which of the two counts would
-// depend on the reader. The value begins at i; path is called only for a fault.
+// checkStructure returns a *FieldError if the value that begins at i nests deeper than maxDepth, or if an object has the same field
+// twice. JSON parsers differ in which of two equal fields they use. The function path returns the path of the value; it is called only
+// for an error.
 func checkStructure(b []byte, i, depth int, path func() string) error {
 	if depth > maxDepth {
-		return fieldError("", "nests more than %d deep", maxDepth)
+		return fieldError("", "nesting depth is above %d", maxDepth)
 	}
 	var firstErr error
 	var names []string
@@ -135,13 +139,14 @@
 	slices.Sort(names)
 	for k := 1; k < len(names) && firstErr == nil; k++ {
 		if names[k] == names[k-1] {
-			firstErr = fieldError(joinPath(path(), names[k], 0), "named twice")
+			firstErr = fieldError(joinPath(path(), names[k], 0), "field occurs twice")
 		}
 	}
 	return firstErr
 }
 
-// pathAtOffset names the innermost value in the one at i that a reader was at when it had read offset bytes.
+// pathAtOffset returns the path of the innermost value that a parser was reading after offset bytes. The search starts with the value
+// that begins at i, whose path is given.
 func pathAtOffset(b []byte, i, offset int, path string) string {
 	found, index := path, 0
 	forEachValue(b, i, func(name string, from, _ int) {
--- a/internal/gateway/routing/stored.go
+++ b/internal/gateway/routing/stored.go
@@ -9,24 +9,25 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// snapshot is the register as it is stored and sent, by gob: the names of its fields, and of taken's, are part of that.
+// snapshot is the stored form of a register, encoded by gob. The field names of snapshot and taken are part of the format and must not
+// change.
 type snapshot struct {
-	Body   []byte
-	Taken  []taken // of versions before there was a window: the last legacyAcceptedCount
-	Window []byte
+	Body   []byte  // the complete configuration in force, empty if there is none
+	Taken  []taken // the last accepted calls; only in snapshots of program versions that had no window
+	Window []byte  // the window of accepted calls; nil in snapshots of program versions that had no window
 }
 
-// taken is an accepted call as such versions kept it.
+// taken is an accepted call in a snapshot of a program version that had no window of accepted calls.
 type taken struct {
 	Version uint64
 	Digest  [sha256.Size]byte
 }
 
-// legacyAcceptedCount is how many accepted calls such versions kept. Where a snapshot has so many, there may have been
-// more.
+// legacyAcceptedCount is the number of accepted calls that program versions without a window kept. If a snapshot has this many, earlier
+// calls may have been dropped.
 const legacyAcceptedCount = 256
 
-// Snapshot gives the register as bytes, by gob. Equal registers give equal bytes within a program.
+// Snapshot returns the register, encoded by gob. Equal registers have equal snapshots in the same build of the program.
 func (r *Register) Snapshot() []byte {
 	s := snapshot{Body: r.body, Window: r.accepted.Bytes()}
 	if r.knobs.omitWindow() {
@@ -35,11 +36,11 @@
 	return logentry.Encode(s)
 }
 
-// Restore makes the register of a snapshot. What was accepted once is not checked again: a later version may reject
-// more, but must not lose what is in force.
+// Restore returns the register of a snapshot. It does not validate the configuration. A later program version may reject more, but must
+// not lose the configuration in force.
 func Restore(b []byte) (*Register, error) { return restoreWithWindow(b, logentry.DedupWindowBytes) }
 
-// restoreWithWindow is Restore with a window of so many bytes.
+// restoreWithWindow returns the register of a snapshot, with a window of accepted calls of at most maxWindowBytes.
 func restoreWithWindow(b []byte, maxWindowBytes int) (*Register, error) {
 	var s snapshot
 	if err := logentry.Decode(b, &s, "read snapshot of the configuration"); err != nil {
@@ -55,13 +56,13 @@
 	}
 	r.config = new(Config)
 	if err := json.Unmarshal(s.Body, r.config); err != nil {
-		return nil, errors.Wrap(err, "read configuration of a snapshot")
+		return nil, errors.Wrap(err, "parse configuration of a snapshot")
 	}
 	r.version, r.body = r.config.Generation, s.Body
 	return r, nil
 }
 
-// dedupWindow gives the window of accepted calls, in whichever form the snapshot has it.
+// dedupWindow returns the window of accepted calls, from either form of snapshot.
 func (s *snapshot) dedupWindow(maxBytes int) (*logentry.DedupWindow, error) {
 	if s.Window != nil {
 		window, err := logentry.DecodeDedupWindow(s.Window, maxBytes)
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -12,7 +12,7 @@
 	"clovergap/internal/invariant"
 )
 
-// Defaults of what a configuration leaves out or gives as 0. The limits are those of PROTOCOL.md's example.
+// Defaults of values that a configuration omits or sets to 0. The limits are those of the example in PROTOCOL.md.
 const (
 	DefaultDeadline       = 30 * time.Second
 	DefaultMaxAttempts    = 2
@@ -23,60 +23,61 @@
 	DefaultIdleTimeout    = 15 * time.Second
 )
 
-// maxHostBytes bounds a host name that is looked up, in bytes; DNS allows 253.
+// maxHostBytes is the maximum length of a host name in a look-up, in bytes. DNS allows 253.
 const maxHostBytes = 256
 
-// RouteKey is equal for routes whose fields are all equal, in whichever table: statistics of one hold for the other. It
-// is kept in memory only.
+// RouteKey identifies a route by its content. Routes of different tables have the same key if all their fields are equal, so that
+// statistics of a route are kept when the table changes. Keys exist in memory only and are not stored.
 type RouteKey string
 
-// Route is a route as nodes use it.
+// Route is a route of a Table, with all defaults filled in.
 type Route struct {
 	Key           RouteKey
 	Name          string
-	Host          string // in lower case
+	Host          string // host name in lower case
 	Prefix        string
-	Effectful     bool          // not idempotent: it may run once for each attempt of a client
-	Deadline      time.Duration // of a request, from when it came
-	LatencyTarget time.Duration // of a response, its latency objective; the deadline where it is left out
-	Priority      int           // 0 is highest
-	MaxAttempts   int           // backends that one request may be sent to, 1 or more
-	Public        bool          // carries no key
-	Targets       []Target      // one or more, weights above 0 whose sum fits 32 bits
+	Effectful     bool          // not idempotent: may be executed at most once for each attempt of a client
+	Deadline      time.Duration // of a request, measured from its arrival
+	LatencyTarget time.Duration // latency objective of a response; Deadline if the configuration omits it
+	Priority      int           // 0 is the highest priority
+	MaxAttempts   int           // maximum number of backends that a request is sent to, at least 1
+	Public        bool          // requests need no API key
+	Targets       []Target      // at least one; weights are above 0, and their sum fits into 32 bits
 }
 
-// Target is a service that may answer a route, and its weight among the route's targets.
+// Target is a service that serves a route, and its weight among the targets of the route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Tenant is a tenant as nodes use it.
+// Tenant is a tenant of a Table, with its priority and its rate limit.
 type Tenant struct {
 	Name     string
-	Priority int     // goes before the route's, 0 is highest
-	Rate     float64 // requests a second over all nodes, 0 = no limit
-	Burst    float64 // requests on top
+	Priority int     // 0 is the highest priority; compared before the priority of the route
+	Rate     float64 // requests per second over all nodes; 0 means no limit
+	Burst    float64 // requests above Rate that are admitted at once
 }
 
-// Service is a service as nodes use it.
+// Service is a service of a Table, with all defaults filled in.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int // of one backend, from all callers together; 0 = not given
+	MaxConns   int // maximum connections to one backend, from all callers together; 0 means not configured
 	Protocol   string
 	TLS        bool
 }
 
-// Limits bound what a client may send and how long it may take. All are above 0.
+// Limits bound the size and the duration of client requests. All limits are above 0.
 type Limits struct {
-	MaxHeaderBytes int // bytes
-	MaxBodyBytes   int // bytes
+	MaxHeaderBytes int
+	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 }
 
-// Table is what a node routes by. It is immutable and safe for concurrent use; what it returns is not to be changed.
+// Table is the routing table of a node: the configuration in force, indexed for look-ups. A Table is immutable and safe for concurrent
+// use. Callers must not modify the values that its methods return.
 type Table struct {
 	version  uint64
 	limits   Limits
@@ -87,15 +88,15 @@
 	tenants  []*Tenant
 }
 
-// host holds the routes of a host by their prefix, and the lengths of these, longest first: a look-up tries
-// each length once, however many routes there are.
+// host holds the routes of a host by prefix, and the distinct lengths of these prefixes in descending order. A look-up tries each
+// length once, so that its cost does not depend on the number of routes.
 type host struct {
 	routes        map[string]*Route
 	prefixLengths []int
 }
 
-// NewTable builds the table of a checked configuration; of nil, one with no routes and the default limits.
-// Where two routes have the same host and prefix, or two tenants the same key, the first one counts.
+// NewTable returns the table of a validated configuration. If the configuration is nil, the table has no routes and the default
+// limits. If several routes have the same host and prefix, or several tenants have the same API key, the first of them is used.
 func NewTable(c *Config) *Table {
 	if c == nil {
 		c = new(Config)
@@ -119,6 +120,7 @@
 	return t
 }
 
+// addService adds a service. If a service of this name exists, the existing service stays.
 func (t *Table) addService(c *ConfigService) {
 	if t.services[c.Name] != nil {
 		return
@@ -132,6 +134,7 @@
 	}
 }
 
+// addTenant adds a tenant and its API keys. A key of an earlier tenant stays with the earlier tenant.
 func (t *Table) addTenant(c *ConfigTenant) {
 	tenant := &Tenant{
 		Name:     c.Name,
@@ -147,7 +150,7 @@
 	}
 }
 
-// addHost adds the routes of a host; a configuration may name one more than once.
+// addHost adds the routes of a host. A configuration may contain the same host several times.
 func (t *Table) addHost(c *ConfigHost) {
 	name := strings.ToLower(c.Hostname)
 	h := t.hosts[name]
@@ -169,7 +172,7 @@
 	slices.SortFunc(h.prefixLengths, func(x, y int) int { return y - x })
 }
 
-// newRoute fills in what a configuration leaves out of a route.
+// newRoute returns the route of a configuration, with defaults for omitted fields.
 func newRoute(host string, c *ConfigRoute) *Route {
 	r := &Route{
 		Name:        c.Name,
@@ -194,13 +197,13 @@
 	if len(r.Targets) == 0 {
 		r.Targets = []Target{{c.Target, 1}}
 	}
-	key, err := json.Marshal(r) // it has no key yet
-	invariant.Assert(err == nil, "a route has a key")
+	key, err := json.Marshal(r) // r.Key is still empty
+	invariant.Assert(err == nil, "a route can be encoded as JSON")
 	r.Key = RouteKey(key)
 	return r
 }
 
-// scaleWeights halves weights until their sum fits 32 bits; none becomes 0.
+// scaleWeights halves all weights until their sum fits into 32 bits. It rounds up, so that no weight becomes 0.
 func scaleWeights(weights []Target) {
 	for {
 		sum := 0.0
@@ -216,7 +219,7 @@
 	}
 }
 
-// newLimits fills in what a configuration leaves out of the limits.
+// newLimits returns the limits of a configuration, with defaults for omitted fields. The configuration may be nil.
 func newLimits(c *ConfigLimits) Limits {
 	if c == nil {
 		c = new(ConfigLimits)
@@ -236,14 +239,13 @@
 	return l
 }
 
-// Route finds the route of a request: among those of its host the one with the longest prefix that begins
-// the path. A port after the host and a query after the path are passed over; letters of the host may be of
-// either case. It allocates nothing.
+// Route returns the route of a request: the route of the host with the longest prefix that matches the path. It ignores a port after
+// the host name, the case of the host name, and a query after the path. It returns false if no route matches. Route does not allocate.
 func (t *Table) Route(hostname, path []byte) (*Route, bool) {
 	if i := bytes.LastIndexByte(hostname, ':'); i >= 0 && bytes.IndexByte(hostname[i:], ']') < 0 {
 		hostname = hostname[:i]
 	}
-	var buffer [maxHostBytes]byte // on the stack
+	var buffer [maxHostBytes]byte // stays on the stack
 	if len(hostname) > len(buffer) {
 		return nil, false
 	}
@@ -272,29 +274,29 @@
 	return nil, false
 }
 
-// Tenant finds the tenant that holds a key. It allocates nothing.
+// Tenant returns the tenant with an API key, and whether there is one. Tenant does not allocate.
 func (t *Table) Tenant(key []byte) (*Tenant, bool) {
 	tenant := t.keys[string(key)]
 	return tenant, tenant != nil
 }
 
-// HasTenants tells whether requests on routes that are not public carry a key.
+// HasTenants reports whether the configuration has tenants. If it does, requests on routes that are not public need an API key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// Service finds a service by its name.
+// Service returns the service with a name, and whether there is one.
 func (t *Table) Service(name string) (*Service, bool) {
 	s := t.services[name]
 	return s, s != nil
 }
 
-// Version is the generation that the table was built from, 0 if none.
+// Version returns the generation of the configuration that the table was built from, 0 if there was none.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits are the bounds on what clients send.
+// Limits returns the limits on client requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Routes are all routes, in the configuration's order.
+// Routes returns all routes, in the order of the configuration.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// Tenants are all tenants, in the configuration's order.
+// Tenants returns all tenants, in the order of the configuration.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
--- a/internal/gateway/routing/testingknobs_debug.go
+++ b/internal/gateway/routing/testingknobs_debug.go
@@ -2,11 +2,11 @@
 
 package routing
 
-// TestingKnobs take defences out, for a test that shows what these are for.
+// TestingKnobs disable safety checks of a Register, so that a test can show which violation each check prevents.
 type TestingKnobs struct {
-	IgnoreHorizon        bool // decides on a call below the window's horizon as if it had never been accepted
-	OmitWindow           bool // leaves the window of accepted calls out of a snapshot
-	TrustStaleRejections bool // counts a rejection by this state as one by every later state
+	IgnoreHorizon        bool // decides a call at or below the horizon as if it had never been accepted
+	OmitWindow           bool // omits the window of accepted calls from snapshots
+	TrustStaleRejections bool // reports each rejection as final, even if a later state may accept the call
 }
 
 func (t TestingKnobs) ignoreHorizon() bool        { return t.IgnoreHorizon }
--- a/internal/gateway/routing/testingknobs_debug_test.go
+++ b/internal/gateway/routing/testingknobs_debug_test.go
@@ -2,9 +2,9 @@
 
 package routing
 
-// knobsByViolation are the defences of the register, each taken out, and what the model finds then.
+// knobsByViolation maps the violation that the model finds to the knob that disables the safety check against it.
 var knobsByViolation = map[string]TestingKnobs{
-	"taken, and refused":                     {IgnoreHorizon: true},
-	"taken a moment ago, and not confirmed":  {OmitWindow: true},
-	"valid on the newest state, and refused": {TrustStaleRejections: true},
+	"accepted call was rejected":                  {IgnoreHorizon: true},
+	"recently accepted call was not confirmed":    {OmitWindow: true},
+	"call valid in the newest state was rejected": {TrustStaleRejections: true},
 }
--- a/internal/gateway/routing/testingknobs_release.go
+++ b/internal/gateway/routing/testingknobs_release.go
@@ -2,7 +2,7 @@
 
 package routing
 
-// TestingKnobs is empty in a release build: no defence can be taken out, and the compiler removes the branches.
+// TestingKnobs is empty in a release build. No safety check can be disabled, and the compiler removes the branches.
 type TestingKnobs struct{}
 
 func (TestingKnobs) ignoreHorizon() bool        { return false }
--- a/internal/gateway/routing/testingknobs_release_test.go
+++ b/internal/gateway/routing/testingknobs_release_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// knobsByViolation is empty: a release build has all defences.
+// knobsByViolation is empty in a release build, which cannot disable a safety check.
 var knobsByViolation = map[string]TestingKnobs{}
