--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -48,9 +48,9 @@
 	violation string
 }
 
-// foldedRegister returns the register of a node that applied the log and restored its own snapshot after the first from entries. If
+// registerAfter returns the register of a node that applied the log and restored its own snapshot after the first from entries. If
 // from is 0, the node restored no snapshot.
-func (m *model) foldedRegister(log string, from int8) *Register {
+func (m *model) registerAfter(log string, from int8) *Register {
 	key := fmt.Sprint(log, from)
 	if r := m.registers[key]; r != nil {
 		return r
@@ -112,7 +112,7 @@
 			}
 			addSuccessor(func(w *modelState) {
 				w.remainingSends[o]--
-				if v, _, final := m.foldedRegister(w.log[:w.appliedCount[i]], w.snapshotIndex[i]).DecideFinal(d.kind, []byte(d.body)); final {
+				if v, _, final := m.registerAfter(w.log[:w.appliedCount[i]], w.snapshotIndex[i]).DecideFinal(d.kind, []byte(d.body)); final {
 					m.checkAnswer(w, o, v)
 				} else {
 					w.pending += string(rune(o))
@@ -124,7 +124,7 @@
 		addSuccessor(func(w *modelState) { w.pending = "" }) // a new leader lacks the proposed entries; operators get no answer
 		addSuccessor(func(w *modelState) {
 			o := int(w.pending[0])
-			v, _ := m.foldedRegister(w.log, w.snapshotIndex[modelNodes]).Decide(modelCalls[o].kind, []byte(modelCalls[o].body))
+			v, _ := m.registerAfter(w.log, w.snapshotIndex[modelNodes]).Decide(modelCalls[o].kind, []byte(modelCalls[o].body))
 			w.log, w.pending = w.log+w.pending[:1], w.pending[1:]
 			if v == Accepted && w.rejected[o] {
 				m.violation = "rejected call was accepted later"
--- a/internal/gateway/settings/bounds.go
+++ b/internal/gateway/settings/bounds.go
@@ -103,8 +103,8 @@
 // way back).
 func (b Bounds) PartitionedAge() time.Duration { return b.InTouch / 2 }
 
-// parse takes texts name=value; names that are not known are passed over. The error has all that are wrong.
-func (b *Bounds) parse(texts []string) (err error) {
+// setFromTexts takes texts name=value; names that are not known are passed over. The error has all that are wrong.
+func (b *Bounds) setFromTexts(texts []string) (err error) {
 	fields := map[string]reflect.Value{}
 	bounds := reflect.ValueOf(b).Elem()
 	for i := range bounds.NumField() {
@@ -118,14 +118,14 @@
 		}
 		name = strings.TrimSpace(name)
 		if field, known := fields[name]; known {
-			err = multierr.Append(err, fieldError("bounds."+name, setBound(field, strings.TrimSpace(value))))
+			err = multierr.Append(err, fieldError("bounds."+name, setBoundField(field, strings.TrimSpace(value))))
 		}
 	}
 	return err
 }
 
-// setBound reads a value into a field of Bounds.
-func setBound(field reflect.Value, value string) error {
+// setBoundField reads a value into a field of Bounds.
+func setBoundField(field reflect.Value, value string) error {
 	switch p := field.Addr().Interface().(type) {
 	case *time.Duration:
 		d, err := parseDuration(value)
@@ -148,8 +148,8 @@
 
 // Numbers are below these. What is larger is a mistake, and could not be kept as a time.
 const (
-	maxNumber = 1e12
-	maxTime   = 1e9 // in its unit, ms or s
+	maxNumber         = 1e12
+	maxDurationNumber = 1e9 // in its unit, ms or s
 )
 
 // errOutOfRange is a number that is below 0, too large, or none.
@@ -174,7 +174,7 @@
 		unit = time.Second
 		digits, ok = strings.CutSuffix(text, "s")
 	}
-	number, err := parseNumber(digits, maxTime)
+	number, err := parseNumber(digits, maxDurationNumber)
 	if err != nil || !ok {
 		return 0, errors.Errorf("%q is not a time such as 1500ms or 2.5s", text)
 	}
--- a/internal/gateway/settings/parse.go
+++ b/internal/gateway/settings/parse.go
@@ -67,19 +67,19 @@
 func Parse(text []byte) (*Settings, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s", ErrNotYAML, yamlMessage(err))
+		return nil, fmt.Errorf("%w: %s", ErrNotYAML, yamlErrorMessage(err))
 	}
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return nil, ErrEmpty
 	}
 	var d document
 	if err = yaml.NodeToValue(tree.Docs[0].Body, &d); err != nil {
-		return nil, fieldError(fieldPath(tree.Docs[0].Body, err), errors.New(yamlMessage(err)))
+		return nil, fieldError(fieldPath(tree.Docs[0].Body, err), errors.New(yamlErrorMessage(err)))
 	}
 	s := d.Settings
 	err = multierr.Combine(d.validate(), s.parseHeartbeatInterval(d.HeartbeatText))
 	s.Bounds = DefaultBounds()
-	err = multierr.Append(err, s.Bounds.parse(d.BoundTexts))
+	err = multierr.Append(err, s.Bounds.setFromTexts(d.BoundTexts))
 	if err != nil {
 		return nil, err
 	}
@@ -105,13 +105,13 @@
 	if d.InnerPorts[0] > d.InnerPorts[1] {
 		err = multierr.Append(err, fieldError("inner_port_range", errors.New("the first is above the second")))
 	}
-	for _, need := range []struct{ serves, field, address string }{
+	for _, requirement := range []struct{ serves, field, address string }{
 		{"edge", "bind.front", d.Bind.Front},
 		{"edge", "bind.readiness", d.Bind.Readiness},
 		{"control", "bind.control", d.Bind.Control},
 	} {
-		if need.address == "" && slices.Contains(d.Serves, need.serves) {
-			err = multierr.Append(err, fieldError(need.field, errors.Errorf("needed by what serves %s", need.serves)))
+		if requirement.address == "" && slices.Contains(d.Serves, requirement.serves) {
+			err = multierr.Append(err, fieldError(requirement.field, errors.Errorf("needed by what serves %s", requirement.serves)))
 		}
 	}
 	return err
@@ -133,13 +133,13 @@
 	for _, f := range fields {
 		_, path, _ := strings.Cut(f.Namespace(), ".") // without the document's type
 		path = strings.TrimPrefix(path, inlined)
-		err = multierr.Append(err, fieldError(path, errors.Errorf("%#v is not %s", f.Value(), describeRule(f))))
+		err = multierr.Append(err, fieldError(path, errors.Errorf("%#v is not %s", f.Value(), ruleDescription(f))))
 	}
 	return err
 }
 
-// describeRule words what a field should have been.
-func describeRule(f validator.FieldError) string {
+// ruleDescription words what a field should have been.
+func ruleDescription(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "given"
@@ -155,8 +155,8 @@
 	return f.Tag()
 }
 
-// yamlMessage is the message of a YAML error without the lines of the file.
-func yamlMessage(err error) string {
+// yamlErrorMessage is the message of a YAML error without the lines of the file.
+func yamlErrorMessage(err error) string {
 	var y yaml.Error
 	if !errors.As(err, &y) {
 		return err.Error()
@@ -190,9 +190,9 @@
 }
 
 // Visit is called for each node.
-func (n *nodeFinder) Visit(at ast.Node) ast.Visitor {
-	if t := at.GetToken(); t != nil && t.Position.Offset == n.offset && at.GetPath() != "" {
-		n.path = at.GetPath()
+func (n *nodeFinder) Visit(node ast.Node) ast.Visitor {
+	if t := node.GetToken(); t != nil && t.Position.Offset == n.offset && node.GetPath() != "" {
+		n.path = node.GetPath()
 	}
 	return n
 }
--- a/internal/gateway/settings/settings.go
+++ b/internal/gateway/settings/settings.go
@@ -87,7 +87,7 @@
 
 // ChangedRestartFields names the fields, as the file does, that differ from other and that a process takes up at its start only. The rest may
 // change at any time.
-func (s *Settings) ChangedRestartFields(other *Settings) (fields []string) {
+func (s *Settings) ChangedRestartFields(other *Settings) (changed []string) {
 	for _, field := range []struct {
 		name string
 		same bool
@@ -106,8 +106,8 @@
 		{"data_dir", s.DataDir == other.DataDir},
 	} {
 		if !field.same {
-			fields = append(fields, field.name)
+			changed = append(changed, field.name)
 		}
 	}
-	return fields
+	return changed
 }
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/multierr"
 )
 
-const example = `
+const exampleFile = `
 node_name: "edge-patio-mosquera-1"
 role: "my-edge"
 machine_class: "edge"
@@ -61,8 +61,8 @@
   - "not_yet=known"
 `
 
-func TestExample(t *testing.T) {
-	s, err := Parse([]byte(example))
+func TestParseExample(t *testing.T) {
+	s, err := Parse([]byte(exampleFile))
 	must.NoError(t, err)
 	must.Eq(t, "patio-mosquera", s.Zone)
 	must.Eq(t, [2]int{7560, 7575}, s.InnerPorts)
@@ -77,14 +77,14 @@
 
 // Bounds may be fractions, whatever they count: a node that refused them did not start where a deployment was scaled down.
 func TestFractionalBounds(t *testing.T) {
-	s, err := Parse([]byte(strings.Replace(example, "retry_extra=40", "retry_extra=36.89\"\n  - \"quota_margin=7.5", 1)))
+	s, err := Parse([]byte(strings.Replace(exampleFile, "retry_extra=40", "retry_extra=36.89\"\n  - \"quota_margin=7.5", 1)))
 	must.NoError(t, err)
 	must.Eq(t, 36.89, s.Bounds.RetryExtra)
 	must.Eq(t, 7.5, s.Bounds.QuotaMargin)
 }
 
 // Each field that is wrong is named as the file names it, by the text and by the FieldError; all of them at once.
-func TestErrorsNameFieldsAsTheFileDoes(t *testing.T) {
+func TestErrorsNameTheInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{"memory_mb: 284", "memory_mb: -4", "limits.memory_mb"},
 		{"memory_mb: 284", "memory_mb: many", "limits.memory_mb"},
@@ -105,14 +105,14 @@
 		{"retry_extra=40", "retry_extra=-4", "bounds.retry_extra"},
 		{"retry_extra=40", "retry_extra=many", "bounds.retry_extra"},
 	} {
-		_, err := Parse([]byte(strings.Replace(example, c.old, c.new, 1)))
+		_, err := Parse([]byte(strings.Replace(exampleFile, c.old, c.new, 1)))
 		must.SliceLen(t, 1, multierr.Errors(err), must.Sprint(c.new, ": ", err))
 		must.StrHasPrefix(t, c.field+": ", err.Error())
 		var wrong *FieldError
 		must.True(t, errors.As(err, &wrong))
 		must.Eq(t, c.field, wrong.Field)
 	}
-	both := strings.NewReplacer("memory_mb: 284", "memory_mb: -4", "drain=2s", "drain=x").Replace(example)
+	both := strings.NewReplacer("memory_mb: 284", "memory_mb: -4", "drain=2s", "drain=x").Replace(exampleFile)
 	_, err := Parse([]byte(both))
 	must.SliceLen(t, 2, multierr.Errors(err))
 	must.ErrorContains(t, err, "limits.memory_mb")
@@ -120,8 +120,8 @@
 }
 
 // A text that is no settings file at all, and a file that is not there, are told apart from wrong fields.
-func TestUnreadableFile(t *testing.T) {
-	_, err := Parse([]byte(strings.Replace(example, "limits:", "limits: {", 1)))
+func TestUnreadableFileErrors(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(exampleFile, "limits:", "limits: {", 1)))
 	must.ErrorIs(t, err, ErrNotYAML)
 	must.StrHasPrefix(t, "not YAML: ", err.Error())
 	_, err = Parse(nil)
@@ -130,20 +130,20 @@
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	_, err = Load(path)
 	must.ErrorIs(t, err, os.ErrNotExist)
-	must.NoError(t, os.WriteFile(path, []byte(strings.Replace(example, "machines: 1", "machines: -1", 1)), 0o600))
+	must.NoError(t, os.WriteFile(path, []byte(strings.Replace(exampleFile, "machines: 1", "machines: -1", 1)), 0o600))
 	_, err = Load(path)
 	must.Eq(t, "settings "+path+": tolerates.machines: -1 is not at least 0", err.Error())
 }
 
 // Every bound is read by the name that the platform has for it, and what the file does not name has the platform's usual value.
-func TestBounds(t *testing.T) {
+func TestParseBounds(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	must.Eq(t, Bounds{SeedStale: 3 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 5 * s, CatchUp: 4 * s, BackendDrain: 2500 * ms,
 		ShutdownGrace: 6 * s, LossSlack: 200 * ms, ApplyWithin: 2500 * ms, RevertSlack: 250 * ms, MaxStretch: 8 * s, RevokeWithin: 5 * s,
 		RetryRatio: 0.2, RetryWindow: 10 * s, RetryExtra: 64, QuotaWindow: 5 * s, QuotaExcess: 0.1, QuotaMargin: 20, Recovery: 15 * s,
 		WatchHistory: 20 * s, LockRelease: 1500 * ms}, DefaultBounds())
 	var b Bounds
-	must.NoError(t, b.parse([]string{"seed_stale=1s", "addr_reuse=2s", "in_touch=3s", "ack_within=4s", "catch_up=5s", "drain=6s", "grace=7s",
+	must.NoError(t, b.setFromTexts([]string{"seed_stale=1s", "addr_reuse=2s", "in_touch=3s", "ack_within=4s", "catch_up=5s", "drain=6s", "grace=7s",
 		"loss_slack=8ms", "apply_within=9s", "revert_slack=10ms", "max_stretch=11s", "strict_revoke=true", "revoke_within=12s",
 		"retry_ratio=0.13", "retry_window=14s", "retry_extra=15.5", "quota_window=16s", "quota_excess=0.17", "quota_margin=18",
 		"recovery=19s", "history=20s", " release = 2.1s "}))
@@ -153,10 +153,10 @@
 		QuotaMargin: 18, Recovery: 19 * s, WatchHistory: 20 * s, LockRelease: 2100 * ms}, b)
 }
 
-func TestRestartRequired(t *testing.T) {
-	a, err := Parse([]byte(example))
+func TestChangedRestartFields(t *testing.T) {
+	a, err := Parse([]byte(exampleFile))
 	must.NoError(t, err)
-	changed := strings.NewReplacer("7575", "7580", "drain=2s", "drain=3s", "8384", "8385").Replace(example)
+	changed := strings.NewReplacer("7575", "7580", "drain=2s", "drain=3s", "8384", "8385").Replace(exampleFile)
 	b, err := Parse([]byte(changed))
 	must.NoError(t, err)
 	must.Eq(t, []string{"bind.readiness", "inner_port_range"}, a.ChangedRestartFields(b))
