--- a/internal/gateway/settings/bounds.go
+++ b/internal/gateway/settings/bounds.go
@@ -10,60 +10,68 @@
 	"go.uber.org/multierr"
 )
 
-// Bounds are the times and ratios that a deployment is held to. In the file they are texts, name=value: a time has a unit, ms or s. One
-// that the file does not name is as in DefaultBounds. The gateway reads InTouch, ApplyWithin, ShutdownGrace, the figures of retries and
-// quotas, and WatchHistory; the others are what it is judged by, and the laboratory checks its runs against them.
+// Bounds are the time limits and ratios that a deployment must meet. In the file each bound is a text of the form name=value, and a
+// duration has the unit ms or s. A bound that the file omits has its value in DefaultBounds. The gateway reads InTouch, ApplyWithin,
+// ShutdownGrace, WatchHistory, and the bounds of retries and quotas. The test laboratory (internal/lab) checks its runs against the other
+// bounds, except for those marked as unused.
+//
+// A machine is in touch if it has had no fault for at least InTouch. The bounds apply only to machines in touch.
 type Bounds struct {
-	// SeedStale is how far seed_addrs may lag behind the nodes that there are; it is not used here. Default 3s.
+	// SeedStale is the maximum delay after which a change of the nodes appears in seed_addrs. Unused. Default 3s.
 	SeedStale time.Duration `bound:"seed_stale"`
-	// AddrReuse is the least time after which another backend may have the address of one that is gone. Default 2s.
+	// AddrReuse is the minimum time between the end of a backend and the use of its address by another backend. Default 2s.
 	AddrReuse time.Duration `bound:"addr_reuse"`
-	// InTouch is how long after the last fault a machine counts as in touch again: from then on it is held to the other bounds. By the
-	// gateway it is the age of quorum contact from which a node takes no clients. Default 3s.
+	// InTouch is the time after its last fault from which a machine counts as in touch again and must meet the other bounds. The gateway
+	// also uses InTouch as the age of the last quorum contact from which a node accepts no clients. Default 3s.
 	InTouch time.Duration `bound:"in_touch"`
-	// AckWithin is the time in which a control call is acknowledged. Default 5s.
+	// AckWithin is the maximum time until a control call is acknowledged. Default 5s.
 	AckWithin time.Duration `bound:"ack_within"`
-	// CatchUp is the time after a replacement, or the start of a disk's node, after which the next one may be lost. Default 4s.
+	// CatchUp is the time after the replacement of a machine, or after the start of a node with a disk, from which the next machine may
+	// fail. Default 4s.
 	CatchUp time.Duration `bound:"catch_up"`
-	// BackendDrain is the time after an acknowledged draining after which no node sends a backend new requests. Default 2.5s.
+	// BackendDrain is the time after the acknowledgement of a backend's drain from which no node sends the backend new requests. Default
+	// 2.5s.
 	BackendDrain time.Duration `bound:"drain"`
 	// ShutdownGrace is the time between SIGTERM and the end of a process. Default 6s.
 	ShutdownGrace time.Duration `bound:"grace"`
-	// LossSlack is the time after its arrival in which a request may end without an answer and unseen by any backend. Default 200ms.
+	// LossSlack is the time after the arrival of a request within which the request may end without a response and without having reached
+	// a backend. Default 200ms.
 	LossSlack time.Duration `bound:"loss_slack"`
-	// ApplyWithin is the time after an acknowledged change of configuration after which all nodes in touch serve by it. Default 2.5s.
+	// ApplyWithin is the time after the acknowledgement of a configuration change from which all nodes in touch use the changed
+	// configuration. Default 2.5s.
 	ApplyWithin time.Duration `bound:"apply_within"`
-	// RevertSlack is how long after a node has answered by a version of the configuration it may still answer by an older one. Default
-	// 250ms.
+	// RevertSlack is the time after the first response of a node by a configuration version in which the node may still respond by an older
+	// version. Default 250ms.
 	RevertSlack time.Duration `bound:"revert_slack"`
-	// MaxStretch is how long the replicated log may be unsettled for a fault that is to excuse a late configuration; it is not used here.
+	// MaxStretch is the maximum time for which the replicated log may fail to commit if the fault is to excuse a late configuration. Unused.
 	// Default 8s.
 	MaxStretch time.Duration `bound:"max_stretch"`
-	// StrictRevoke is the platform's switch for RevokeWithin; it is not used here. Default false.
+	// StrictRevoke is true if the platform requires RevokeWithin. Unused. Default false.
 	StrictRevoke bool `bound:"strict_revoke"`
-	// RevokeWithin is the time in which a key that the configuration lost is refused; it is not used here. Default 5s.
+	// RevokeWithin is the maximum time until an API key that was removed from the configuration is rejected. Unused. Default 5s.
 	RevokeWithin time.Duration `bound:"revoke_within"`
-	// RetryRatio is how many retries there may be for each first attempt, over all nodes and a RetryWindow. Default 0.2.
+	// RetryRatio is the maximum number of retries per first attempt, over all nodes and within a RetryWindow. Default 0.2.
 	RetryRatio float64 `bound:"retry_ratio"`
 	// RetryWindow is the time over which retries are counted. Default 10s.
 	RetryWindow time.Duration `bound:"retry_window"`
-	// RetryExtra is how many retries there may be in a RetryWindow beside those of RetryRatio. Default 64.
+	// RetryExtra is the number of retries that are allowed within a RetryWindow in addition to RetryRatio. Default 64.
 	RetryExtra float64 `bound:"retry_extra"`
-	// QuotaWindow is the time over which a tenant's quota is judged. Default 5s.
+	// QuotaWindow is the time over which the requests of a tenant are compared with its quota. Default 5s.
 	QuotaWindow time.Duration `bound:"quota_window"`
-	// QuotaExcess is the share by which a tenant's requests may be above its quota in a QuotaWindow. Default 0.1.
+	// QuotaExcess is the share of its quota by which a tenant may exceed the quota within a QuotaWindow. Default 0.1.
 	QuotaExcess float64 `bound:"quota_excess"`
-	// QuotaMargin is how many requests they may be above it beside that. Default 20.
+	// QuotaMargin is the number of requests by which a tenant may exceed its quota within a QuotaWindow, in addition to QuotaExcess. Default
+	// 20.
 	QuotaMargin float64 `bound:"quota_margin"`
-	// Recovery is the time after the last fault in which all nodes serve again. Default 15s.
+	// Recovery is the maximum time from the last fault until all nodes serve requests again. Default 15s.
 	Recovery time.Duration `bound:"recovery"`
-	// WatchHistory is the time after which a watch of keys may still resume from a revision that it was given. Default 20s.
+	// WatchHistory is the time for which a watch of keys can resume from a revision that it received. Default 20s.
 	WatchHistory time.Duration `bound:"history"`
-	// LockRelease is the time in which a lock whose time has run out is free; it is not used here. Default 1.5s.
+	// LockRelease is the maximum time between the expiry of a lock and its release. Unused. Default 1.5s.
 	LockRelease time.Duration `bound:"release"`
 }
 
-// DefaultBounds are those of the platform's example of a settings file.
+// DefaultBounds returns the bounds of the example settings file of the platform.
 func DefaultBounds() Bounds {
 	return Bounds{
 		SeedStale:     3 * time.Second,
@@ -90,20 +98,22 @@
 	}
 }
 
-// ReadyMaxAge is the age of a node's quorum contact from which it takes no clients: machines without a fault are in touch that long
-// after the last event, and have newer contact by then.
+// ReadyMaxAge returns the age of the last quorum contact from which a node accepts no clients. It equals InTouch: a machine without a fault
+// counts as in touch InTouch after the last event, and has had newer quorum contact by that time.
 func (b Bounds) ReadyMaxAge() time.Duration { return b.InTouch }
 
-// AuthoritativeMaxAge is the age of quorum contact up to which a node answers 401, 404 and 400 by its own state: a change that it may
-// lack is to be in force within ApplyWithin. A twenty-fifth of that is left for the answer's way.
+// AuthoritativeMaxAge returns the age of the last quorum contact up to which a node answers 401, 404 and 400 from its own state. A
+// configuration change that the node may lack must be in force within ApplyWithin. The result is a twenty-fifth shorter than ApplyWithin,
+// which leaves this time for the transmission of the response.
 func (b Bounds) AuthoritativeMaxAge() time.Duration { return b.ApplyWithin - b.ApplyWithin/25 }
 
-// PartitionedAge is the age of quorum contact from which a node takes itself for partitioned, and others are to be asked rather than
-// waited for: half of InTouch, and more than an ordinary election takes (0.4 to 0.8 s without a leader, a few syncs, and a heartbeat's
-// way back).
+// PartitionedAge returns the age of the last quorum contact from which a node considers itself partitioned, and from which a caller should
+// use another node instead of waiting. The age is half of InTouch. It is longer than an ordinary election, which takes 0.4 to 0.8 s without
+// a leader, a few disk syncs, and the return of a heartbeat.
 func (b Bounds) PartitionedAge() time.Duration { return b.InTouch / 2 }
 
-// setFromTexts takes texts name=value; names that are not known are passed over. The error has all that are wrong.
+// setFromTexts sets bounds from texts of the form name=value. Unknown names are ignored. The error combines a FieldError for each invalid
+// text.
 func (b *Bounds) setFromTexts(texts []string) (err error) {
 	fields := map[string]reflect.Value{}
 	bounds := reflect.ValueOf(b).Elem()
@@ -124,7 +134,7 @@
 	return err
 }
 
-// setBoundField reads a value into a field of Bounds.
+// setBoundField parses a value and stores it in a field of Bounds.
 func setBoundField(field reflect.Value, value string) error {
 	switch p := field.Addr().Interface().(type) {
 	case *time.Duration:
@@ -139,35 +149,35 @@
 	case *float64:
 		number, err := parseNumber(value, maxNumber)
 		if err != nil {
-			return errors.Errorf("%q is not a number from 0", value)
+			return errors.Errorf("%q is not a number of at least 0 and below 1e12", value)
 		}
 		*p = number
 	}
 	return nil
 }
 
-// Numbers are below these. What is larger is a mistake, and could not be kept as a time.
+// Exclusive upper limits of numbers. A larger number is a mistake, and a larger duration would overflow time.Duration.
 const (
 	maxNumber         = 1e12
-	maxDurationNumber = 1e9 // in its unit, ms or s
+	maxDurationNumber = 1e9 // in the unit of the duration, ms or s
 )
 
-// errOutOfRange is a number that is below 0, too large, or none.
+// errOutOfRange is the error for a number that is negative, too large or NaN.
 var errOutOfRange = errors.New("out of range")
 
-// parseNumber reads a number from 0 to below a bound.
+// parseNumber parses a number that must be at least 0 and below a bound.
 func parseNumber(text string, bound float64) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, err
 	}
-	if !(number >= 0 && number < bound) { // not NaN either
+	if !(number >= 0 && number < bound) { // also true for NaN
 		return 0, errOutOfRange
 	}
 	return number, nil
 }
 
-// parseDuration reads a time as the platform writes it: a number and its unit, ms or s.
+// parseDuration parses a duration in the notation of the platform: a number with the unit ms or s.
 func parseDuration(text string) (time.Duration, error) {
 	unit, digits, ok := time.Millisecond, "", false
 	if digits, ok = strings.CutSuffix(text, "ms"); !ok {
@@ -176,7 +186,7 @@
 	}
 	number, err := parseNumber(digits, maxDurationNumber)
 	if err != nil || !ok {
-		return 0, errors.Errorf("%q is not a time such as 1500ms or 2.5s", text)
+		return 0, errors.Errorf("%q is not a duration such as 1500ms or 2.5s", text)
 	}
 	return time.Duration(number * float64(unit)), nil
 }
--- a/internal/gateway/settings/doc.go
+++ b/internal/gateway/settings/doc.go
@@ -1,10 +1,10 @@
-// Package settings reads and checks the settings file of a process: YAML, written by whoever deploys it, at the path in the variable
-// PathEnv.
+// Package settings parses and validates the settings file of a process. The file is YAML. The platform, which is the system that deploys
+// the process, writes the file and sets the environment variable PathEnv to its path.
 //
-// Fields are named in the file as their yaml tags say, and bounds as their bound tags do. These names are the platform's and stay; a
-// field that is not known is passed over, so that a file for a newer version can be read. Parse names all fields that are wrong at once,
-// each as the file does; a FieldError is one of them.
+// The yaml tags give the names of fields in the file, and the bound tags the names of bounds. The platform defines these names, so that
+// they must not change. Unknown fields are ignored, so that a file for a newer program version can be read. Parse reports all invalid
+// fields at once. Each is a FieldError that has the name of the field in the file.
 //
-// The package does no more than that: it applies nothing, and what a running process takes over from a changed file is decided by the
-// node. ChangedRestartFields tells what it can't.
+// The package does not apply settings. The node decides which changes of the file a running process adopts. ChangedRestartFields returns
+// the changed fields that a running process cannot adopt.
 package settings
--- a/internal/gateway/settings/parse.go
+++ b/internal/gateway/settings/parse.go
@@ -16,25 +16,25 @@
 	"go.uber.org/multierr"
 )
 
-// Errors of a text that can't be read at all.
+// Errors of Parse for a file whose fields cannot be read.
 var (
 	ErrNotYAML = errors.New("not YAML")
 	ErrEmpty   = errors.New("empty")
 )
 
-// FieldError is a field whose value is wrong.
+// FieldError is the error for a field with an invalid value.
 type FieldError struct {
-	Field string // as the file names it, such as limits.memory_mb
+	Field string // name of the field in the file, such as limits.memory_mb
 	Err   error
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the name of the field and the reason.
 func (f *FieldError) Error() string { return f.Field + ": " + f.Err.Error() }
 
-// Unwrap gives what is wrong.
+// Unwrap returns the reason.
 func (f *FieldError) Unwrap() error { return f.Err }
 
-// fieldError names the field that an error is about; nil for none.
+// fieldError returns a FieldError for a field, or nil if err is nil.
 func fieldError(field string, err error) error {
 	if err == nil {
 		return nil
@@ -42,28 +42,29 @@
 	return &FieldError{Field: field, Err: err}
 }
 
-// document is the file as it is written: times and bounds are texts.
+// document is the settings file before durations and bounds are parsed.
 type document struct {
 	Settings      `yaml:",inline"`
 	HeartbeatText string   `yaml:"beat_interval" validate:"required"`
 	BoundTexts    []string `yaml:"bounds"`
 }
 
-// Load reads the file at path. The error has the path, and is as Parse's otherwise.
+// Load reads and parses the settings file at path. The error contains the path and wraps the error of Parse.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "settings")
 	}
 	s, err := Parse(text)
-	if err != nil { // Wrap makes an error of none
+	if err != nil { // errors.Wrap returns an error even for nil
 		return nil, errors.Wrap(err, "settings "+path)
 	}
 	return s, nil
 }
 
-// Parse reads the text of a file. Fields that are not known are passed over. The error is ErrNotYAML, ErrEmpty, the FieldError of a field
-// of another type, or a FieldError for each field whose value is wrong, all at once (see multierr.Errors).
+// Parse parses and validates the text of a settings file. Unknown fields are ignored. The error wraps ErrNotYAML, is ErrEmpty, or is a
+// FieldError for the first field with a value of the wrong type. Otherwise the error combines a FieldError for each invalid field (see
+// multierr.Errors).
 func Parse(text []byte) (*Settings, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return &s, nil
 }
 
-// parseHeartbeatInterval reads beat_interval; that it is there is checked elsewhere.
+// parseHeartbeatInterval sets HeartbeatInterval from the text of beat_interval. It accepts an empty text, which validateTags rejects.
 func (s *Settings) parseHeartbeatInterval(text string) error {
 	if text == "" {
 		return nil
@@ -99,11 +100,11 @@
 	return fieldError("beat_interval", err)
 }
 
-// validate checks what the tags say, and what needs two fields.
+// validate checks the validate tags and the rules that involve two fields.
 func (d *document) validate() error {
 	err := d.validateTags()
 	if d.InnerPorts[0] > d.InnerPorts[1] {
-		err = multierr.Append(err, fieldError("inner_port_range", errors.New("the first is above the second")))
+		err = multierr.Append(err, fieldError("inner_port_range", errors.New("the first port is above the last port")))
 	}
 	for _, requirement := range []struct{ serves, field, address string }{
 		{"edge", "bind.front", d.Bind.Front},
@@ -111,13 +112,13 @@
 		{"control", "bind.control", d.Bind.Control},
 	} {
 		if requirement.address == "" && slices.Contains(d.Serves, requirement.serves) {
-			err = multierr.Append(err, fieldError(requirement.field, errors.Errorf("needed by what serves %s", requirement.serves)))
+			err = multierr.Append(err, fieldError(requirement.field, errors.Errorf("required if serves contains %s", requirement.serves)))
 		}
 	}
 	return err
 }
 
-// validateTags checks what the tags say.
+// validateTags checks the validate tags. The error combines a FieldError for each field that breaks a rule.
 func (d *document) validateTags() (err error) {
 	v := validator.New()
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -131,14 +132,14 @@
 	}
 	inlined := reflect.TypeFor[Settings]().Name() + "."
 	for _, f := range fields {
-		_, path, _ := strings.Cut(f.Namespace(), ".") // without the document's type
+		_, path, _ := strings.Cut(f.Namespace(), ".") // removes the name of the type document
 		path = strings.TrimPrefix(path, inlined)
 		err = multierr.Append(err, fieldError(path, errors.Errorf("%#v is not %s", f.Value(), ruleDescription(f))))
 	}
 	return err
 }
 
-// ruleDescription words what a field should have been.
+// ruleDescription returns the requirement that a field does not meet, as the end of a message "... is not ...".
 func ruleDescription(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
@@ -146,7 +147,7 @@
 	case "hostname_port":
 		return "host:port"
 	case "ip":
-		return "an address"
+		return "an IP address"
 	case "min":
 		return "at least " + f.Param()
 	case "max":
@@ -155,7 +156,7 @@
 	return f.Tag()
 }
 
-// yamlErrorMessage is the message of a YAML error without the lines of the file.
+// yamlErrorMessage returns the message of a YAML error with the line number, but without the excerpt of the file.
 func yamlErrorMessage(err error) string {
 	var y yaml.Error
 	if !errors.As(err, &y) {
@@ -167,12 +168,12 @@
 	}
 	var wrongType *yaml.TypeError
 	if errors.As(err, &wrongType) {
-		return wrongType.SrcType.String() + " where " + wrongType.DstType.String() + " is wanted" + line
+		return wrongType.SrcType.String() + " given, " + wrongType.DstType.String() + " required" + line
 	}
 	return y.GetMessage() + line
 }
 
-// fieldPath is the path of the field that a YAML error is about, "file" where it can't be told.
+// fieldPath returns the path of the field with a YAML error, or "file" if the field is not known.
 func fieldPath(root ast.Node, err error) string {
 	var y yaml.Error
 	if !errors.As(err, &y) || y.GetToken() == nil {
@@ -183,13 +184,14 @@
 	return strings.TrimPrefix(f.path, "$.")
 }
 
-// nodeFinder looks for the node that begins at an offset; of several the innermost, which comes last.
+// nodeFinder finds the path of the YAML node that begins at an offset. If several nodes begin there, it finds the innermost node, which
+// ast.Walk visits last.
 type nodeFinder struct {
 	offset int
 	path   string
 }
 
-// Visit is called for each node.
+// Visit stores the path of the node if the node begins at the offset. It implements ast.Visitor.
 func (n *nodeFinder) Visit(node ast.Node) ast.Visitor {
 	if t := node.GetToken(); t != nil && t.Position.Offset == n.offset && node.GetPath() != "" {
 		n.path = node.GetPath()
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -61,6 +61,7 @@
   - "not_yet=known"
 `
 
+// Guards against fields that are parsed under another name or type than in the example settings file of the platform.
 func TestParseExample(t *testing.T) {
 	s, err := Parse([]byte(exampleFile))
 	must.NoError(t, err)
@@ -75,7 +76,8 @@
 	must.Eq(t, want, s.Bounds)
 }
 
-// Bounds may be fractions, whatever they count: a node that refused them did not start where a deployment was scaled down.
+// Guards against a node that does not start because a bound is a fraction. Scaling down a deployment makes bounds fractional, also bounds
+// that count requests or retries.
 func TestFractionalBounds(t *testing.T) {
 	s, err := Parse([]byte(strings.Replace(exampleFile, "retry_extra=40", "retry_extra=36.89\"\n  - \"quota_margin=7.5", 1)))
 	must.NoError(t, err)
@@ -83,7 +85,8 @@
 	must.Eq(t, 7.5, s.Bounds.QuotaMargin)
 }
 
-// Each field that is wrong is named as the file names it, by the text and by the FieldError; all of them at once.
+// Guards against errors without the name of the invalid field in the file. The message and the FieldError must have this name, and Parse
+// must report all invalid fields at once.
 func TestErrorsNameTheInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{"memory_mb: 284", "memory_mb: -4", "limits.memory_mb"},
@@ -119,7 +122,7 @@
 	must.ErrorContains(t, err, "bounds.drain")
 }
 
-// A text that is no settings file at all, and a file that is not there, are told apart from wrong fields.
+// Guards against reporting an unreadable, empty or missing file as an invalid field. Load must also name the path of the file.
 func TestUnreadableFileErrors(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(exampleFile, "limits:", "limits: {", 1)))
 	must.ErrorIs(t, err, ErrNotYAML)
@@ -135,7 +138,8 @@
 	must.Eq(t, "settings "+path+": tolerates.machines: -1 is not at least 0", err.Error())
 }
 
-// Every bound is read by the name that the platform has for it, and what the file does not name has the platform's usual value.
+// Guards against bounds with a name or a default that differs from the platform's. Each bound must be read by its name, and an omitted bound
+// must have its default.
 func TestParseBounds(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	must.Eq(t, Bounds{SeedStale: 3 * s, AddrReuse: 2 * s, InTouch: 3 * s, AckWithin: 5 * s, CatchUp: 4 * s, BackendDrain: 2500 * ms,
@@ -153,6 +157,7 @@
 		QuotaMargin: 18, Recovery: 19 * s, WatchHistory: 20 * s, LockRelease: 2100 * ms}, b)
 }
 
+// Guards against changes that a running process ignores without a report that a restart is required.
 func TestChangedRestartFields(t *testing.T) {
 	a, err := Parse([]byte(exampleFile))
 	must.NoError(t, err)
