--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -67,7 +67,7 @@
 	return &Register{accepted: logentry.NewDedupWindow(logentry.DedupWindowBytes)}
 }
 
-// Decide returns the result that Apply would return for a call, without changing the register. The error is nil if the result is
+// Decide returns the result that Apply would return for a call, without applying the call. The error is nil if the result is
 // Accepted or Duplicate, and a *FieldError otherwise.
 func (r *Register) Decide(k Kind, body []byte) (Result, error) {
 	d := r.cachedDecision(callDigest(k, body), k, body)
@@ -153,7 +153,7 @@
 		call.Generation, horizon)
 }
 
-// change is a parsed call. It does not depend on the state of the register.
+// change holds the fields of a call that can be parsed without the state of the register.
 type change struct {
 	generation uint64
 	parent     uint64
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -92,6 +92,7 @@
 	must.StrHasPrefix(t, "upserts.vhosts[0].path_list[0].variant: ", err.Error())
 }
 
+// Guards against durations that are accepted with a wrong value, and against accepted texts that are not a number followed by ms or s.
 func TestParseDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0ms": 0, "1500ms": 1500 * time.Millisecond,
@@ -129,6 +130,7 @@
 	must.Eq(t, Accepted, v)
 }
 
+// Guards against an Amend that loses, reorders or rewrites parts of the configuration that the call does not name.
 func TestAmendMergesNamedItems(t *testing.T) {
 	r := newExampleRegister(t)
 	must.Eq(t, exampleConfig, string(r.Body()))
@@ -167,6 +169,8 @@
 	must.False(t, NewTable(r.Config()).HasTenants())
 }
 
+// Guards against repeated calls that are applied twice, and against two accepted calls with the same parent. Operators repeat calls after
+// time-outs, and several operators can send calls at the same time.
 func TestDuplicateAndConflictingCalls(t *testing.T) {
 	r := newExampleRegister(t)
 	emptyConfig := func(generation, parent int) []byte {
@@ -261,6 +265,8 @@
 	}
 }
 
+// Guards against wrong matches of host, path prefix or API key, against allocations in look-ups, and against route keys that change without
+// a change of the route.
 func TestTableLookups(t *testing.T) {
 	table := NewTable(newExampleRegister(t).Config())
 	for _, c := range []struct{ host, path, name string }{
--- a/internal/gateway/routing/stored.go
+++ b/internal/gateway/routing/stored.go
@@ -27,7 +27,7 @@
 // calls may have been dropped.
 const legacyAcceptedCount = 256
 
-// Snapshot returns the register, encoded by gob. Equal registers have equal snapshots in the same build of the program.
+// Snapshot returns the register, encoded by gob. Within one process, equal registers have equal snapshots.
 func (r *Register) Snapshot() []byte {
 	s := snapshot{Body: r.body, Window: r.accepted.Bytes()}
 	if r.knobs.omitWindow() {
--- a/internal/gateway/settings/bounds.go
+++ b/internal/gateway/settings/bounds.go
@@ -26,25 +26,25 @@
 	InTouch time.Duration `bound:"in_touch"`
 	// AckWithin is the maximum time until a control call is acknowledged. Default 5s.
 	AckWithin time.Duration `bound:"ack_within"`
-	// CatchUp is the time after the replacement of a machine, or after the start of a node with a disk, from which the next machine may
-	// fail. Default 4s.
+	// CatchUp is the minimum time between the replacement of a machine, or the start of a node with a disk, and the loss of the next
+	// machine. Default 4s.
 	CatchUp time.Duration `bound:"catch_up"`
-	// BackendDrain is the time after the acknowledgement of a backend's drain from which no node sends the backend new requests. Default
-	// 2.5s.
+	// BackendDrain is the maximum time from the acknowledgement of a backend's drain until no node sends new requests to the backend.
+	// Default 2.5s.
 	BackendDrain time.Duration `bound:"drain"`
 	// ShutdownGrace is the time between SIGTERM and the end of a process. Default 6s.
 	ShutdownGrace time.Duration `bound:"grace"`
-	// LossSlack is the time after the arrival of a request within which the request may end without a response and without having reached
-	// a backend. Default 200ms.
+	// LossSlack is the maximum time after its arrival at which a request may end without a response and without having reached a backend.
+	// Default 200ms.
 	LossSlack time.Duration `bound:"loss_slack"`
-	// ApplyWithin is the time after the acknowledgement of a configuration change from which all nodes in touch use the changed
+	// ApplyWithin is the maximum time from the acknowledgement of a configuration change until all nodes in touch use the changed
 	// configuration. Default 2.5s.
 	ApplyWithin time.Duration `bound:"apply_within"`
-	// RevertSlack is the time after the first response of a node by a configuration version in which the node may still respond by an older
-	// version. Default 250ms.
+	// RevertSlack is the time for which a node may still respond according to an older configuration version after it has responded
+	// according to a newer version. Default 250ms.
 	RevertSlack time.Duration `bound:"revert_slack"`
-	// MaxStretch is the maximum time for which the replicated log may fail to commit if the fault is to excuse a late configuration. Unused.
-	// Default 8s.
+	// MaxStretch limits the faults that excuse a late configuration. Such a fault may stop commits in the replicated log for at most
+	// MaxStretch. Unused. Default 8s.
 	MaxStretch time.Duration `bound:"max_stretch"`
 	// StrictRevoke is true if the platform requires RevokeWithin. Unused. Default false.
 	StrictRevoke bool `bound:"strict_revoke"`
--- a/internal/gateway/settings/settings.go
+++ b/internal/gateway/settings/settings.go
@@ -42,7 +42,7 @@
 	// DataDir is the directory for the state of the replica. If it is empty, the node has no disk and follows a node with a disk.
 	DataDir string `yaml:"data_dir"`
 	// HeartbeatInterval is the time between two heartbeats of a backend (beat_interval in the file), above 0. A backend that misses three
-	// heartbeats is removed. Required.
+	// heartbeats counts as gone. Required.
 	HeartbeatInterval time.Duration `yaml:"-"`
 	// Contracts lists the interfaces that the applications of the deployment use. The value coord creates the coordination groups at the
 	// start of the deployment.
