--- a/internal/gateway/routing/deadlines.go
+++ b/internal/gateway/routing/deadlines.go
@@ -15,7 +15,7 @@
 
 // CheckDeadlines returns a *FieldError if a call sets a route whose deadline is 0. Each request on such a route would time out
 // before it began. The leader calls CheckDeadlines before it proposes a change. Entries of the log are applied without this
-// check, since earlier program versions accepted such routes. A body that is not valid JSON passes this check.
+// check, since earlier program versions accepted such routes. A body that cannot be parsed passes this check.
 func CheckDeadlines(body []byte) error {
 	var c changedRoutes
 	if json.Unmarshal(body, &c) != nil {
