--- a/internal/gateway/routing/testingknobs_release_test.go
+++ b/internal/gateway/routing/testingknobs_release_test.go
@@ -2,5 +2,5 @@
 
 package routing
 
-// withoutDefence is empty: a release build has all defences.
-var withoutDefence = map[string]TestingKnobs{}
+// knobsByViolation is empty in a release build, which cannot disable a safety check.
+var knobsByViolation = map[string]TestingKnobs{}
