--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -134,7 +134,7 @@
 		evidence := c.evidence[key]
 		if evidence.changed {
 			evidence.changed = false
-			c.evaluate(key, evidence)
+			c.proposeEjectionIfRuleMet(key, evidence)
 		}
 		if !c.hasFreshEvidence(evidence) {
 			delete(c.evidence, key)
@@ -148,7 +148,7 @@
 	for i := range c.state.Ejections() {
 		c.proposeRecoveryStep(&c.state.Ejections()[i])
 	}
-	c.proposeForgetGone()
+	c.proposeForgetEntry()
 }
 
 // hasFreshEvidence reports whether any observation of a key was received at most evidenceTTL ago.
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -83,14 +83,14 @@
 	return o.Rev == a.revision && from != a.excludedWitness
 }
 
-// assess combines the reports on a key. ejection is nil if the key was never ejected.
-func (c *Coordinator) assess(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
+// newAssessment combines the reports on a key. ejection is nil if the key was never ejected.
+func (c *Coordinator) newAssessment(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
 	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.ejectionRevision(key),
 		recovering: ejection != nil && ejection.Step != InService, excludedWitness: membership.NoSlot}
 	if a.recovering {
 		a.excludedWitness = ejection.SoleWitness
 	}
-	for _, from := range evidence.witnesses() {
+	for _, from := range evidence.sortedWitnesses() {
 		o := evidence.byWitness[from]
 		if !a.includes(from, o) {
 			continue
@@ -120,19 +120,19 @@
 // isFresh reports whether an observation was received at most freshWindow ago, so that its window is current.
 func (c *Coordinator) isFresh(o *receivedObservation) bool { return c.now-o.receivedAt <= freshWindow }
 
-// witnesses returns the nodes that have reported on a key, in ascending order.
-func (k *keyEvidence) witnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
+// sortedWitnesses returns the nodes that have reported on a key, in ascending order.
+func (k *keyEvidence) sortedWitnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
 
-// evaluate applies the three rules to the reports of all nodes on a key and proposes an ejection if one of the rules is met.
-func (c *Coordinator) evaluate(key Key, evidence *keyEvidence) {
+// proposeEjectionIfRuleMet applies the three rules to the reports of all nodes on a key and proposes an ejection if one of the rules is met.
+func (c *Coordinator) proposeEjectionIfRuleMet(key Key, evidence *keyEvidence) {
 	ejection := c.state.Ejection(key)
 	if c.backends[key.ID].Phase != Ready || ejection != nil && ejection.Step == Ejected {
 		return
 	}
-	a := c.assess(key, evidence, ejection)
+	a := c.newAssessment(key, evidence, ejection)
 	losses, settled := c.lossWitnesses(a)
 	enoughWitnesses := len(losses)+len(a.conclusive) > 1 || a.recovering
-	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.enoughNodesAnswered(key, evidence) && c.hasWitnessInZone(a, losses)
+	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.hasEnoughReports(key, evidence) && c.hasWitnessInZone(a, losses)
 	if c.ejectOnConclusiveEvidence(a, losses, lossesUsable) {
 		return
 	}
@@ -144,7 +144,7 @@
 		return
 	}
 	others := a.total.minus(a.worst)
-	if others.Failing < minFailuresToRequest || others.failureRate() < suspectFailureRate[key.Mode] || !c.enoughNodesAnswered(key, evidence) {
+	if others.Failing < minFailuresToRequest || others.failureRate() < suspectFailureRate[key.Mode] || !c.hasEnoughReports(key, evidence) {
 		return
 	}
 	if witnesses, exceeds := c.checkFailureRate(a); exceeds {
@@ -175,9 +175,9 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// enoughNodesAnswered reports whether enough nodes have answered the current report request for a key. If the last request is older than
+// hasEnoughReports reports whether enough nodes have answered the current report request for a key. If the last request is older than
 // retryInterval, the function queues a new request. While answers are missing, the key is evaluated again at the next Tick.
-func (c *Coordinator) enoughNodesAnswered(key Key, evidence *keyEvidence) bool {
+func (c *Coordinator) hasEnoughReports(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
 		if o.receivedAt >= evidence.requestedAt {
@@ -214,13 +214,13 @@
 // at least minConfirmingAnswers clean answers in the second half of the attempt's time-out. These answers must have been fast, and they must not
 // all have arrived at the same node. If there is only one node, the answers to this node suffice. at is the time when the attempt timed out, and
 // nodes is the number of live nodes.
-func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
+func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, timedOutAt time.Duration, nodeCount int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
 		var sum Window
 		for i, w := range o.Slots {
 			end := o.receivedAt - o.SlotAge - time.Duration(i)*slotDuration
-			if o.Rev == revision && end <= at && end-slotDuration >= at-item.Timeout/2 {
+			if o.Rev == revision && end <= timedOutAt && end-slotDuration >= timedOutAt-item.Timeout/2 {
 				sum.add(w)
 			}
 		}
@@ -231,15 +231,15 @@
 	isFast := func(w Window) bool {
 		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/confirmingLatencyDivisor
 	}
-	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.minus(largest)))
+	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodeCount == 1 || isFast(total.minus(largest)))
 }
 
 // lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. settled is
 // false while a report request for the confirmation is not yet answered.
-func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, settled bool) {
-	settled = true
+func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, complete bool) {
+	complete = true
 	losses := a.evidence.losses
-	for _, from := range a.evidence.witnesses() {
+	for _, from := range a.evidence.sortedWitnesses() {
 		o := a.evidence.byWitness[from]
 		if !a.includes(from, o) {
 			continue
@@ -250,8 +250,8 @@
 			if evidenceWeights[item.Kind][a.key.Mode] != Partial || known || c.now-at > lossConfirmTimeout {
 				continue
 			}
-			if item.Kind == LostAnswer && !c.enoughNodesAnswered(a.key, a.evidence) {
-				settled = false
+			if item.Kind == LostAnswer && !c.hasEnoughReports(a.key, a.evidence) {
+				complete = false
 			} else if item.Kind == ConnectionReset || a.evidence.confirmsLoss(a.revision, item, at, c.nodeCount) {
 				losses[from] = confirmedLoss{a.revision, at}
 			}
@@ -260,7 +260,7 @@
 			witnesses = append(witnesses, from)
 		}
 	}
-	return witnesses, settled
+	return witnesses, complete
 }
 
 // otherBackendWindows returns each node's window of the service's other backends. It leaves out backends whose failure rate is at least
@@ -306,7 +306,7 @@
 
 // checkFailureRate reports in exceeds whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
 // observations of any one node are left out. witnesses are the nodes that observed failures, with the most failures first.
-func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, exceeds bool) {
+func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, tooHigh bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
 	for _, w := range byNode {
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -209,7 +209,7 @@
 
 // HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy is true if the
 // answering instance reported that it is healthy.
-func (n *Node) HandleProbe(id, by InstanceID, healthy bool) {
+func (n *Node) HandleProbe(id, answeredBy InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
 		return
@@ -218,9 +218,9 @@
 	for m := range instance.keys {
 		state := &instance.keys[m]
 		switch {
-		case by != "" && by != id:
+		case answeredBy != "" && answeredBy != id:
 			n.countEvidence(state, evidenceItem{WrongInstance, n.now, 0})
-		case healthy && by == id:
+		case healthy && answeredBy == id:
 			state.Probes++
 		default:
 			state.Probes = 0
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -66,13 +66,13 @@
 
 // RecordAttempt records how an attempt ended. sent is the time when the attempt was sent, and rev is the result of Revision at that time. The
 // host calls RecordAttempt once for each attempt.
-func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
+func (n *Node) RecordAttempt(k Key, rev uint64, sentAt time.Duration, end AttemptEnd) {
 	instance := n.backends[k.ID]
-	kind := seen.EvidenceKind()
+	kind := end.EvidenceKind()
 	if instance == nil || !n.state.Enabled() {
 		return
 	}
-	if seen.provesPathWorks() {
+	if end.provesPathWorks() {
 		instance.lastAnswerAt = n.now
 		path := n.zonePaths[instance.Zone]
 		if path == nil {
@@ -84,7 +84,7 @@
 	if kind == ConnectionReset {
 		n.resets = append(n.resets, observedReset{k.ID, n.now})
 	}
-	n.recordOutcome(instance, k, rev, kind, sent)
+	n.recordOutcome(instance, k, rev, kind, sentAt)
 }
 
 // RecordEvidence records evidence that does not follow from the end of an attempt. The kind is StrayAnswer or DuplicateAnswer. rev is the result
@@ -96,7 +96,7 @@
 }
 
 // recordOutcome records a clean answer or a failure of a key. It ignores an attempt that was sent under another revision than the current one.
-func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
+func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sentAt time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
 	}
@@ -108,7 +108,7 @@
 	case kind == CleanAnswer:
 		w := state.window.advanceTo(n.now)
 		w.Clean++
-		w.LatencyMillis += uint32((n.now - sent).Milliseconds())
+		w.LatencyMillis += uint32((n.now - sentAt).Milliseconds())
 		instance.service.windows[k.Mode].advanceTo(n.now).Clean++
 		state.Clean++
 		if s := &instance.keys[Strict]; k.Mode == Patient && s.revision > 0 {
@@ -119,7 +119,7 @@
 		if k.Mode == Strict && n.mayEjectLocally(instance) {
 			state.delayedCount++
 		}
-		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sent}, state, rev, sent})
+		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sentAt}, state, rev, sentAt})
 		n.active[k] = state
 		n.queueAccessUpdate(instance.service)
 	default:
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -101,9 +101,9 @@
 	return sum
 }
 
-// proposeForgetGone proposes to remove the ejections of instances that are gone. When the coordinator has run for longer than unknownTTL, the
+// proposeForgetEntry proposes to remove the ejections of instances that are gone. When the coordinator has run for longer than unknownTTL, the
 // ejections of instances that are not in the registry are removed as well.
-func (c *Coordinator) proposeForgetGone() {
+func (c *Coordinator) proposeForgetEntry() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
 	}
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -102,7 +102,7 @@
 	reportsSent                      int
 	// The largest number of backends not open to patient requests, as a fraction of the allowed number. The allowed number is the number of ready
 	// backends minus Settings.requiredInService.
-	worstPatientShare    float64
+	maxClosedFraction    float64
 	wronglyClosed        time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
 	wronglyClosedLocally time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
 	wronglyEjected       map[InstanceID]bool
@@ -115,8 +115,8 @@
 	from, to   time.Duration
 }
 
-// largeSite returns the services of a site with 144 backends.
-func largeSite() []*simService {
+// largeSiteServices returns the services of a site with 144 backends.
+func largeSiteServices() []*simService {
 	return []*simService{
 		{"libro", 48, 560, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 64, 80, 900, 120 * ms, 1500 * ms, nil},
@@ -124,8 +124,8 @@
 	}
 }
 
-// smallSite returns the services of a site with 28 backends.
-func smallSite() []*simService {
+// smallSiteServices returns the services of a site with 28 backends.
+func smallSiteServices() []*simService {
 	return []*simService{
 		{"libro", 6, 69, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 13, 10, 217, 120 * ms, 1500 * ms, nil},
@@ -153,7 +153,7 @@
 	return sim
 }
 
-func zoneName(i int) string { return fmt.Sprint("zone-", i) }
+func zoneName(zoneIndex int) string { return fmt.Sprint("zone-", zoneIndex) }
 
 func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
 	sim.startedBackends++
@@ -320,7 +320,7 @@
 			node.access[action.Key] = action
 		case Probe:
 			for _, b := range sim.backends {
-				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
+				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)) == 0 {
 					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
 				}
 			}
@@ -333,7 +333,7 @@
 	}
 }
 
-func zoneOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
+func zoneIndexOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
 
 // deliverReport delivers a report to the coordinator. One of fifty reports is lost, and one of fifty is duplicated.
 func (sim *simulation) deliverReport(node *simNode, report Report) {
@@ -380,7 +380,7 @@
 		}
 		switch access := node.access[key]; {
 		case access.Access == Closed, access.Access == Limited && (node.inFlight[key] > 0 || sim.now-node.lastSentAt[key] < access.Interval):
-		case zoneOf(b) == node.zone:
+		case zoneIndexOf(b) == node.zone:
 			near = append(near, b)
 		default:
 			far = append(far, b)
@@ -412,12 +412,12 @@
 	if b.faultEnd > 0 { // After the end of the fault the request continues at the usual speed.
 		latency = min(latency, b.faultEnd-sim.now+time.Duration(float64(latency)/slowdown))
 	}
-	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
+	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
 	for _, p := range sim.partitions { // A partition that begins while the request is in flight delays the answer.
 		inside := func(index, zone int) bool { return p.node >= 0 && index == p.node || p.zone >= 0 && zone == p.zone }
-		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
+		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneIndexOf(b)) {
 			latency += p.to - p.from + time.Duration(200+sim.rng.Intn(800))*ms
 		}
 	}
@@ -498,13 +498,13 @@
 		if open < minimum {
 			panic(fmt.Sprintf("too few backends open to patient requests: node=%d open=%d ready=%d minimum=%d", node.slot, open, ready, minimum))
 		}
-		sim.worstPatientShare = max(sim.worstPatientShare, float64(ready-open)/float64(max(ready-minimum, 1)))
+		sim.maxClosedFraction = max(sim.maxClosedFraction, float64(ready-open)/float64(max(ready-minimum, 1)))
 	}
 }
 
 // injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If caller is not -1, the fault
 // is a link fault: it affects only requests from nodes of the zone with the number caller to backends of other zones.
-func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, caller int) {
+func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, callerZone int) {
 	var candidates []*simBackend
 	for _, b := range sim.backends {
 		if b.Service == service {
@@ -512,9 +512,9 @@
 		}
 	}
 	for _, b := range candidates[:int(backendShare*float64(len(candidates)))] {
-		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
+		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, callerZone < 0
 		b.fault = func(sim *simulation, node *simNode, mode Mode) (EvidenceKind, float64) {
-			if mode == m && sim.rng.Float64() < requestShare && (caller < 0 || caller == node.zone && caller != zoneOf(b)) {
+			if mode == m && sim.rng.Float64() < requestShare && (callerZone < 0 || callerZone == node.zone && callerZone != zoneIndexOf(b)) {
 				return kind, 1
 			}
 			return NoEvidence, 1
@@ -544,7 +544,7 @@
 		sim.resetConnections(func(req *simRequest) bool { return req.backend == b })
 	}
 	sim.schedule(3*time.Second, func() { sim.setPhase(b, Gone) })
-	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneOf(b)) })
+	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneIndexOf(b)) })
 }
 
 func (sim *simulation) setPhase(b *simBackend, p Phase) {
@@ -597,7 +597,7 @@
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
 					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
-					sim.startBackend(b.service, zoneOf(b))
+					sim.startBackend(b.service, zoneIndexOf(b))
 				}
 			}
 		})
@@ -663,7 +663,7 @@
 		nodes int
 		site  func() []*simService
 		seeds int
-	}{{12, smallSite, seedCount(24)}, {96, largeSite, seedCount(6)}} {
+	}{{12, smallSiteServices, seedCount(24)}, {96, largeSiteServices, seedCount(6)}} {
 		wrongEjections, ejections, worstShare, simulated, closedLocally, reports := 0, 0, 0.0, time.Duration(0), time.Duration(0), 0
 		runSeeds(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
@@ -673,7 +673,7 @@
 			return sim
 		}, func(sim *simulation) {
 			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections,
-				max(worstShare, sim.worstPatientShare), simulated+sim.now
+				max(worstShare, sim.maxClosedFraction), simulated+sim.now
 			closedLocally, reports = closedLocally+sim.wronglyClosedLocally, reports+sim.reportsSent
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && sim.wronglyEjected[record.Key.ID] {
@@ -722,7 +722,7 @@
 		site      func() []*simService
 		disturbed bool
 		seeds     int
-	}{{96, largeSite, false, seedCount(1)}, {12, smallSite, false, seedCount(6)}, {12, smallSite, true, seedCount(6)}} {
+	}{{96, largeSiteServices, false, seedCount(1)}, {12, smallSiteServices, false, seedCount(6)}, {12, smallSiteServices, true, seedCount(6)}} {
 		maxEjected, ejections, closedTime, simulated, sharedEjections := 0, 0, time.Duration(0), time.Duration(0), 0
 		runSeeds(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
@@ -794,17 +794,17 @@
 		caller       int           // Only requests from this zone to backends of other zones are affected. -1: all requests.
 		maxMedian    time.Duration // The limit for the median time to the ejection. 0: no ejection is expected.
 	}{
-		{"one answer in forty lost", 12, smallSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one answer in forty lost", 96, largeSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one request in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one request in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all answers without a seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one request in five answered with 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one request in five answered with 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine answers in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one answer in ten lost, on links of a zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one answer in ten lost, on links of a zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all backends answer half with 5xx", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"one answer in forty lost", 12, smallSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one answer in forty lost", 96, largeSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"one request in forty answered twice", 12, smallSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"one request in forty answered twice", 96, largeSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"all answers without a seal", 12, smallSiteServices, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"one request in five answered with 5xx", 12, smallSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"one request in five answered with 5xx", 96, largeSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"nine answers in ten without a seal", 96, largeSiteServices, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"one answer in ten lost, on links of a zone", 12, smallSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"one answer in ten lost, on links of a zone", 96, largeSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"all backends answer half with 5xx", 12, smallSiteServices, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -53,16 +53,16 @@
 	return p.since + minCopiesTimeout
 }
 
-// rejectCall answers the last call as not confirmed and returns its ticket. A call is rejected if the registry is full or
+// rejectLastCall answers the last call as not confirmed and returns its ticket. A call is rejected if the registry is full or
 // if the call has no backend id.
-func (r *Registry) rejectCall() Ticket {
+func (r *Registry) rejectLastCall() Ticket {
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
 	return r.lastTicket
 }
 
-// answerOrStoreCall answers the last call at once if decideCall decides it. Otherwise it stores the call as pending. It also
+// answerOrStoreLastCall answers the last call at once if decideCall decides it. Otherwise it stores the call as pending. It also
 // sends the departure that the call reports to each peer that does not have the departure yet.
-func (r *Registry) answerOrStoreCall(e *entry, requested departureState) {
+func (r *Registry) answerOrStoreLastCall(e *entry, requested departureState) {
 	call := pendingCall{ticket: r.lastTicket, entry: e, requested: requested, since: r.now}
 	if requested != notDeparting {
 		for _, s := range r.peerSlots {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -14,11 +14,11 @@
 
 // sendDrainCall has a backend report to a node that the backend is draining. The parameter at is the slot of the node. The
 // results are the answer and whether the node has answered yet.
-func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
+func (f *fleet) sendDrainCall(b *backend, receiver Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
-	ticket := f.registries[at].Heartbeat(b.Record)
+	ticket := f.registries[receiver].Heartbeat(b.Record)
 	f.deliverAll()
-	a, answered = f.acks[at][ticket]
+	a, answered = f.acks[receiver][ticket]
 	return a, answered
 }
 
@@ -27,24 +27,24 @@
 // and a node with a disk only its followers. If fewer than MinCopies nodes with a disk are reachable, the call must fail at
 // once, so that the backend calls the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
-	for _, at := range []Slot{0, 3} {
+	for _, receiver := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
 		b := newBackend(1)
 		f.sendHeartbeat(b, 1)
 		f.advance(time.Second)
-		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
+		for _, isolated := range []Slot{receiver, 0} { // the node itself and the upstream of node 3
 			for _, o := range []Slot{1, 2} {
 				f.partitionNodes(isolated, o)
 			}
 		}
 		f.updateNodes()
-		a, answered := f.sendDrainCall(b, at)
-		must.True(t, answered, must.Sprint("drain call during the partition, at node ", at))
-		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", at))
+		a, answered := f.sendDrainCall(b, receiver)
+		must.True(t, answered, must.Sprint("drain call during the partition, at node ", receiver))
+		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", receiver))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
-		a, answered = f.sendDrainCall(b, at)
-		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", at))
+		a, answered = f.sendDrainCall(b, receiver)
+		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", receiver))
 		f.requirePhase(b.ID, Draining)
 	}
 }
@@ -96,10 +96,10 @@
 // that one of the two nodes has must reach the other through the third, whichever node receives the call. This also holds for
 // a departure that was in flight when the partition was noticed.
 func TestDeparturesAreRelayedAroundPartition(t *testing.T) {
-	for at := range Slot(6) {
+	for receiver := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
 			for i := range 6 { // backends with different owners
-				requireDrainAroundPartition(t, newBackend(i), at, noticed)
+				requireDrainAroundPartition(t, newBackend(i), receiver, noticed)
 			}
 		}
 	}
@@ -108,19 +108,19 @@
 // requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node with
 // the slot at. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes
 // notice the partition before the call, otherwise after the call.
-func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
+func requireDrainAroundPartition(t *testing.T, b *backend, receiver Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
 	f.sendHeartbeat(b, 2)
 	f.advance(time.Second)
 	f.partitionNodes(0, 1)
-	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
+	if receiver == 5 { // Node 5 follows node 0 and also reaches node 2.
 		f.partitionNodes(5, 1)
 	}
 	if noticed {
 		f.updateNodes()
 	}
-	f.sendDrainCall(b, at)
+	f.sendDrainCall(b, receiver)
 	if !noticed {
 		f.advance(600 * ms)
 		f.updateNodes()
@@ -129,7 +129,7 @@
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", at))
+	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", receiver))
 }
 
 // TestNewFollowerReceivesDepartures guards against a new follower that keeps sending requests to a backend that deregistered
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -41,7 +41,7 @@
 	if !urgent {
 		at += batchDelay
 	}
-	r.activate(p)
+	r.addActivePeer(p)
 	if len(p.pendingIDs) == 0 || at < p.sendAt {
 		p.sendAt = at
 	}
@@ -55,7 +55,7 @@
 // resent, because the backend's next heartbeat replaces it.
 func (r *Registry) relayHeartbeat(e *entry, s Slot) {
 	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
-		r.activate(p)
+		r.addActivePeer(p)
 		p.heartbeats = append(p.heartbeats, r.recordOf(e))
 	}
 }
@@ -64,7 +64,7 @@
 func (r *Registry) reportSuspicion(e *entry) {
 	e.ownerSince = r.now
 	if p := r.peers[e.record.Owner]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
-		r.activate(p)
+		r.addActivePeer(p)
 		p.suspicions = append(p.suspicions, e.record.ID)
 	}
 }
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -48,14 +48,14 @@
 		return
 	}
 	for _, e := range r.sorted {
-		if r.isIncludedInSync(e, s) {
+		if r.isIncludedInPeerSync(e, s) {
 			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// isIncludedInSync reports whether a backend is part of the sync of a peer that does not follow this node.
-func (r *Registry) isIncludedInSync(e *entry, to Slot) bool {
+// isIncludedInPeerSync reports whether a backend is part of the sync of a peer that does not follow this node.
+func (r *Registry) isIncludedInPeerSync(e *entry, to Slot) bool {
 	if r.hasLiveDisk && !r.local.HasDisk {
 		return e.phase() != Gone && e.departureState() > notDeparting
 	}
@@ -107,19 +107,19 @@
 		request := r.syncQueue[0]
 		r.syncQueue = r.syncQueue[1:]
 		p := r.peers[request.target]
-		r.activate(p)
+		r.addActivePeer(p)
 		p.syncing, p.fullSyncNext = true, p.fullSyncNext || !request.zoneOnly
 		for _, e := range r.sorted {
-			if r.isRelevantToFollower(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
+			if r.isIncludedInFollowerSync(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
 				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
 }
 
-// isRelevantToFollower reports whether a backend is part of the sync of a follower. Backends that are not gone are part of
+// isIncludedInFollowerSync reports whether a backend is part of the sync of a follower. Backends that are not gone are part of
 // it, and so are backends that departed less than departureRetention ago.
-func (r *Registry) isRelevantToFollower(e *entry) bool {
+func (r *Registry) isIncludedInFollowerSync(e *entry) bool {
 	return e.phase() != Gone || e.departureState() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -47,21 +47,21 @@
 
 // takeMessages takes all messages that the node sends now and returns the number of updates in them. The parameter after is
 // the time until the acknowledgement of each message is delivered.
-func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
+func (c *upstreamFixture) takeMessages(ackDelay time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
 			c.recordsSent[m.Target] += len(m.Message.Updates)
 			c.fullSyncs[m.Target] = c.fullSyncs[m.Target] || m.Message.FullSync
-			c.unacked = append(c.unacked, pendingAck{c.registry.now + after, m.Target, m.Message.Seq})
+			c.unacked = append(c.unacked, pendingAck{c.registry.now + ackDelay, m.Target, m.Message.Seq})
 		}
 	}
 	return sent
 }
 
 // runUntil advances the clock to t. The parameter after is the time until the acknowledgement of each message is delivered.
-func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
-	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
+func (c *upstreamFixture) runUntil(until time.Duration, ackDelay time.Duration) {
+	for now := c.registry.now; now <= until; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		pending := c.unacked
 		c.unacked = nil
@@ -72,7 +72,7 @@
 				c.unacked = append(c.unacked, ack)
 			}
 		}
-		c.takeMessages(after)
+		c.takeMessages(ackDelay)
 	}
 }
 
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -99,9 +99,9 @@
 	r.enqueueAddrChanges(e)
 }
 
-// scan checks all backends. It times out backends that this node owns, takes over backends whose owner is lost, resends
+// scanBackends checks all backends. It times out backends that this node owns, takes over backends whose owner is lost, resends
 // suspicions, reports missing backends and prunes tombstones.
-func (r *Registry) scan() {
+func (r *Registry) scanBackends() {
 	r.nextScanAt = r.now + scanInterval
 	r.reportMissingBackends()
 	expiredTombstone := false
@@ -113,9 +113,9 @@
 				r.reportSuspicion(e) // The first report may have been lost.
 			}
 		case e.record.Owner == r.localSlot:
-			r.checkTimeout(e)
+			r.timeOutOwnedIfOverdue(e)
 		default:
-			r.checkOwner(e)
+			r.takeOverIfOwnerLost(e)
 		}
 	}
 	if expiredTombstone || r.goneCount > maxTombstones || len(r.entries) >= maxBackends {
@@ -123,10 +123,10 @@
 	}
 }
 
-// checkTimeout times out a backend that this node owns if the backend missed its heartbeats or if it is displaced. If this
+// timeOutOwnedIfOverdue times out a backend that this node owns if the backend missed its heartbeats or if it is displaced. If this
 // node reaches no majority, missed heartbeats count only for backends that sent their last heartbeat directly to this node.
 // Other backends may send their heartbeats to nodes that this node does not reach.
-func (r *Registry) checkTimeout(e *entry) {
+func (r *Registry) timeOutOwnedIfOverdue(e *entry) {
 	timeout := missedHeartbeats * r.config.HeartbeatInterval
 	mayTimeOut := e.directHeartbeat || r.reachesMajority()
 	if r.isDisplaced(e) || mayTimeOut && r.now-max(e.lastSeenAt, r.timeoutFloor) >= timeout {
@@ -135,10 +135,10 @@
 	}
 }
 
-// checkOwner takes over a backend whose owner has been lost for the grace period, if ownerFor returns this node. If ownerFor
-// returns another node that does not take over, checkOwner sends that node the record. A node that reaches no majority takes
+// takeOverIfOwnerLost takes over a backend whose owner has been lost for the grace period, if ownerFor returns this node. If ownerFor
+// returns another node that does not take over, takeOverIfOwnerLost sends that node the record. A node that reaches no majority takes
 // over nothing, because the owner may be live on the other side of a partition.
-func (r *Registry) checkOwner(e *entry) {
+func (r *Registry) takeOverIfOwnerLost(e *entry) {
 	if !r.isUnreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 		return
 	}
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// activate adds a peer to Registry.activePeers. Next checks only these peers for messages, so that the cost of an input
+// addActivePeer adds a peer to Registry.activePeers. Next checks only these peers for messages, so that the cost of an input
 // does not grow with the number of idle peers.
-func (r *Registry) activate(p *peer) {
+func (r *Registry) addActivePeer(p *peer) {
 	if p.active {
 		return
 	}
@@ -100,8 +100,8 @@
 	r.activePeers = slices.Insert(r.activePeers, at, p.node.Slot)
 }
 
-// deactivateIdle removes idle peers from Registry.activePeers.
-func (r *Registry) deactivateIdle() {
+// removeIdlePeers removes idle peers from Registry.activePeers.
+func (r *Registry) removeIdlePeers() {
 	r.activePeers = slices.DeleteFunc(r.activePeers, func(s Slot) bool {
 		p := r.peers[s]
 		if p == nil {
@@ -139,10 +139,10 @@
 	return resendTimeout << min(f.attempts, maxResendDoublings)
 }
 
-// resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message has been resent maxResends
+// resendOverdueMessages schedules the resend of messages whose acknowledgement is overdue. If a message has been resent maxResends
 // times, the peer counts as unresponsive. From then on the peer is only sent an empty message as a probe, once in each
 // probeInterval.
-func (r *Registry) resendOverdue(p *peer) {
+func (r *Registry) resendOverdueMessages(p *peer) {
 	for _, f := range p.inFlight {
 		if r.now-f.sentAt < p.ackTimeout(f) {
 			continue
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -31,7 +31,7 @@
 		r.handleSuspicion(p, suspicion)
 	}
 	if m.Seq != 0 && len(p.acks) < maxPendingAcks {
-		r.activate(p)
+		r.addActivePeer(p)
 		p.acks = append(p.acks, m.Seq)
 	}
 	r.answerDecidedCalls()
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -69,9 +69,9 @@
 
 // New returns an empty registry of the node with the given slot. Heartbeats and messages from other nodes fill it. No
 // departure is confirmed before SetNodes is called.
-func New(slot Slot, config Config, now time.Duration) *Registry {
-	invariant.Assert(slot >= 0, "the slot of the registry's node is not negative")
-	return &Registry{localSlot: slot, config: config, now: now, timeoutFloor: now, nextScanAt: now + scanInterval, wakeAt: never,
+func New(localSlot Slot, config Config, now time.Duration) *Registry {
+	invariant.Assert(localSlot >= 0, "the slot of the registry's node is not negative")
+	return &Registry{localSlot: localSlot, config: config, now: now, timeoutFloor: now, nextScanAt: now + scanInterval, wakeAt: never,
 		syncSource: NoSlot, reportMissingAt: never, entries: map[string]*entry{}, byAddr: map[string][]*entry{}, peers: map[Slot]*peer{}}
 }
 
@@ -99,11 +99,11 @@
 	r.now = now
 	for _, s := range r.activePeers {
 		if p := r.peers[s]; p != nil {
-			r.resendOverdue(p)
+			r.resendOverdueMessages(p)
 		}
 	}
 	if now >= r.nextScanAt {
-		r.scan()
+		r.scanBackends()
 	}
 	r.answerDecidedCalls()
 }
@@ -114,7 +114,7 @@
 	r.lastTicket++
 	e := r.findOrCreateEntry(record.ID)
 	if e == nil {
-		return r.rejectCall()
+		return r.rejectLastCall()
 	}
 	record.Deregistered, record.FencingToken, record.Owner, record.LostOwner, record.Age = false, 0, NoSlot, NoSlot, 0
 	record.Draining = record.Phase == Draining
@@ -123,7 +123,7 @@
 		requested = draining
 	}
 	r.handleHeartbeat(e, record, true)
-	r.answerOrStoreCall(e, requested)
+	r.answerOrStoreLastCall(e, requested)
 	return r.lastTicket
 }
 
@@ -133,14 +133,14 @@
 	r.lastTicket++
 	e := r.findOrCreateEntry(id)
 	if e == nil {
-		return r.rejectCall()
+		return r.rejectLastCall()
 	}
 	before := e.departureState()
 	r.merge(e, Record{ID: id, Phase: Gone, Deregistered: true, Owner: NoSlot, LostOwner: NoSlot})
 	if before != departed {
 		r.broadcastRecord(e, true)
 	}
-	r.answerOrStoreCall(e, departed)
+	r.answerOrStoreLastCall(e, departed)
 	return r.lastTicket
 }
 
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	r.deactivateIdle()
+	r.removeIdlePeers()
 	if at := r.nextWake(); at != r.wakeAt {
 		r.wakeAt = at
 		return Wake{Deadline: at}, true
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -29,10 +29,10 @@
 }
 
 // newFleet starts n nodes. The parameter disks is the number of nodes with a disk.
-func newFleet(t *testing.T, n, disks int) *fleet {
-	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: disks,
+func newFleet(t *testing.T, nodeCount, diskCount int) *fleet {
+	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: diskCount,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
-	for s := range Slot(n) {
+	for s := range Slot(nodeCount) {
 		f.startNode(s)
 	}
 	f.updateNodes()
@@ -121,20 +121,20 @@
 
 // sendHeartbeat has a backend send a heartbeat to the node with the slot at and returns the answer. The answer is zero if the
 // node has not answered yet. The target of the backend's next heartbeat becomes the node that the answer names.
-func (f *fleet) sendHeartbeat(b *backend, at Slot) Acknowledge {
+func (f *fleet) sendHeartbeat(b *backend, receiver Slot) Acknowledge {
 	b.Seq++
-	ticket := f.registries[at].Heartbeat(b.Record)
+	ticket := f.registries[receiver].Heartbeat(b.Record)
 	f.deliverAll()
-	a, ok := f.acks[at][ticket]
+	a, ok := f.acks[receiver][ticket]
 	if ok && a.OwnerAddr != "" {
 		fmt.Sscanf(a.OwnerAddr, "node%d", &b.target)
 	}
 	return a
 }
 
-func newBackend(i int) *backend {
-	return &backend{Record: Record{ID: fmt.Sprint("i-", i), Service: "s", Capacity: 4,
-		Addr: fmt.Sprint("10.0.0.", i, ":80")}}
+func newBackend(index int) *backend {
+	return &backend{Record: Record{ID: fmt.Sprint("i-", index), Service: "s", Capacity: 4,
+		Addr: fmt.Sprint("10.0.0.", index, ":80")}}
 }
 
 // requirePhase requires that the record in the last Changed action for the backend has the phase want at each live node. If
--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -6,4 +6,4 @@
 // prevents. The test runs once with the safeguard and once without it.
 var safeguardDisabledCases = []bool{false, true}
 
-func knobsTrustingPeers(trust bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trust} }
+func knobsTrustingPeers(trustUnconfirmed bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trustUnconfirmed} }
