--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -7,7 +7,7 @@
 	"clovergap/internal/invariant"
 )
 
-// queueAccessUpdate queues a service for the next updateAccess. It does nothing if the service is already queued.
+// queueAccessUpdate queues a service for the next call of updateAccess. A service that is already queued is not queued again.
 func (n *Node) queueAccessUpdate(svc *service) {
 	if !svc.changed {
 		svc.changed = true
@@ -67,8 +67,8 @@
 }
 
 // updateStrictAccess sets this node's access to each backend of a service for strict requests. It keeps no minimum number of backends open,
-// because rejecting a write is better than losing the write. While no backend of the service is available, it pushes a NoneAvailable action
-// at each call that is at least noneAvailableInterval after the previous action.
+// because rejecting a write is better than losing the write. If no backend of the service is available, the function pushes a NoneAvailable
+// action, but only one in each noneAvailableInterval.
 func (n *Node) updateStrictAccess(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
--- a/internal/gateway/outlier/backend.go
+++ b/internal/gateway/outlier/backend.go
@@ -4,7 +4,7 @@
 	"clovergap/internal/gateway/membership"
 )
 
-// InstanceID identifies one start of a backend. Each start has its own ID, also at the same address.
+// InstanceID identifies one start of a backend. A backend that restarts at the same address has a new ID.
 type InstanceID string
 
 // Mode determines how the outcomes of a route's requests are evaluated.
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -41,7 +41,7 @@
 	changed     bool
 	requestedAt time.Duration // The time of the last report request for the key.
 	proposedAt  time.Duration // The time of the last proposal of an ejection of the key.
-	// The newest confirmed loss of each witness.
+	// For each witness, the newest lost answer or connection reset that counts as partial evidence.
 	losses map[Slot]confirmedLoss
 }
 
@@ -100,8 +100,9 @@
 	}
 }
 
-// HandleReport stores the observations of a node's report. It ignores observations of backends that are not ready, invalid observations and
-// observations that are not newer than the latest one of the same witness.
+// HandleReport stores the observations of a node's report. It ignores an observation if the backend is not ready or if the observation is
+// invalid. It also ignores an observation if the same incarnation of the node has sent a report on the key with an equal or higher sequence
+// number before.
 func (c *Coordinator) HandleReport(from Slot, r Report) {
 	for _, o := range r.Observations {
 		b, known := c.backends[o.ID]
@@ -161,8 +162,8 @@
 	return false
 }
 
-// propose reports whether the state would accept an entry now. If so, it pushes a proposal of the entry, unless the last proposal was less than
-// retryInterval ago. proposedAt points to the time of the last proposal and is updated.
+// propose proposes an entry and returns true if the state would accept the entry now. If the last proposal is less than retryInterval old,
+// propose returns true but does not propose the entry again. proposedAt points to the time of the last proposal, and propose updates this time.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
 	if result, _ := c.state.Decide(&e); result != routing.Accepted {
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -20,7 +20,7 @@
 }
 
 // Decide returns the result that Apply would return for an entry now. It does not change the state. The error says why an entry is not
-// accepted. The error is a logentry.FieldError or ErrTextTooLong. It is nil for an accepted or a duplicate entry.
+// accepted. The error is a logentry.FieldError or ErrTextTooLong. The error is nil for an accepted or a duplicate entry.
 func (s *State) Decide(e *Entry) (routing.Result, error) {
 	if e.CallID != "" && slices.Contains(s.CallIDs, e.CallID) {
 		return routing.Duplicate, nil
@@ -44,7 +44,7 @@
 		return conflictResult("fence", "fencing token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
 	case e.Verb == Forget:
 		if len(e.GoneInstances) == 0 || len(e.GoneInstances) > maxEjections {
-			return routing.Invalid, logentry.FieldErrorf("gone", "the list of gone instances is empty or longer than the limit")
+			return routing.Invalid, logentry.FieldErrorf("gone", "the number of gone instances is outside the range from 1 to maxEjections")
 		}
 		return routing.Accepted, nil
 	case e.Revision != rev:
@@ -79,7 +79,7 @@
 	case e.Key.ID == "" || e.Key.Mode >= modeCount || e.Service == "" || e.ReadyBackends < 1:
 		return routing.Invalid, logentry.FieldErrorf("key", "an ejection needs an instance, a mode that can be ejected, a service and at least one ready backend")
 	case len(e.Witnesses) == 0 || len(e.Witnesses) > maxNamedWitnesses:
-		return routing.Invalid, logentry.FieldErrorf("witnesses", "the list of witnesses is empty or longer than the limit")
+		return routing.Invalid, logentry.FieldErrorf("witnesses", "the number of witnesses is outside the range from 1 to maxNamedWitnesses")
 	case !s.Enabled():
 		return conflictResult("settings", "outlier detection is disabled")
 	case ejection != nil && ejection.Step == Ejected:
@@ -88,14 +88,15 @@
 		return conflictResult("key", "the limit of %d stored ejections is reached, and none of these backends is back in service", maxEjections)
 	}
 	if _, ok := s.soleWitness(e); !ok {
-		return conflictResult("witnesses", "the weights of the witnesses sum to less than 2, and no single witness may eject another backend")
+		return conflictResult("witnesses", "the witnesses do not suffice: their weights sum to less than 2, and none of them may eject this backend alone")
 	}
 	return routing.Accepted, nil
 }
 
 // soleWitness returns the node on whose evidence alone an ejection rests, or NoSlot if the ejection rests on several nodes. ok is false if the
 // witnesses do not suffice for an ejection. Several nodes suffice if their weights sum to at least 2. A witness has the weight 1, and each
-// refutation halves the weight. A single node suffices up to Settings.soleWitnessLimits. These limits bound the effect of a faulty node.
+// refutation halves the weight. A single node suffices if the node is among the first e.Sufficient witnesses and if its ejections as sole witness
+// are below the limits of Settings.soleWitnessLimits. These limits bound the effect of a faulty node.
 func (s *State) soleWitness(e *Entry) (sole Slot, ok bool) {
 	weight := 0.0
 	for _, w := range e.Witnesses {
--- a/internal/gateway/outlier/doc.go
+++ b/internal/gateway/outlier/doc.go
@@ -13,10 +13,11 @@
 //   - Evidence: what a node observed of a key. Evidence has a kind (EvidenceKind) and a weight. Conclusive evidence can only be caused by the
 //     backend. Partial evidence can also be caused by the network link. ByRate evidence counts as a failure in the failure rate and has no
 //     other effect.
-//   - Witness: a node that reports evidence.
+//   - Witness: a node that reports evidence. If an ejection rests on the evidence of one witness alone, this node is the sole witness.
 //   - Ejection: the record that a key was taken out of service. The ejection has a revision, which each change of the ejection raises.
 //     Evidence counts only under the revision in which it was observed.
-//   - Local ejection: a node closes a backend to its own requests before the coordinator has decided.
+//   - Local ejection: a temporary measure of one node, before the coordinator has decided. The node sends the backend no strict requests. The
+//     requests of other nodes are not affected.
 //   - Refutation: an ejection on the evidence of one witness alone is refuted if the instance comes back into service and no other node
 //     confirmed the evidence. A witness with refutations has less weight.
 //   - Seal: the header X-Backend-Seal, by which a backend marks an answer as its own. A 2xx answer without the seal is malformed.
--- a/internal/gateway/outlier/ejection.go
+++ b/internal/gateway/outlier/ejection.go
@@ -3,9 +3,9 @@
 // Step is the recovery step of an ejection. The zero value is Ejected.
 type Step uint8
 
-// The recovery steps, in order. A strict ejection takes all of them. In the step ReadsOnly it still permits no strict requests, and clean answers
-// to patient requests advance the recovery. A patient ejection leaves out LimitedWrites. In the step ReadsOnly it permits limited patient
-// requests.
+// The recovery steps, in order. An ejection in the mode Strict takes all steps. Its step ReadsOnly permits no strict requests, and clean answers
+// to the instance's patient requests advance the recovery. An ejection in the mode Patient leaves out the step LimitedWrites. Its step ReadsOnly
+// permits patient requests with Limited access.
 const (
 	Ejected Step = iota
 	ReadsOnly
@@ -26,7 +26,7 @@
 	return min(s+1, InService)
 }
 
-// Ejection is the record of a key that was ejected at least once. It stays after the backend is back in service.
+// Ejection is the record of a key that was ejected at least once. The record is kept when the backend is back in service.
 type Ejection struct {
 	Key
 	Service string
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -22,9 +22,9 @@
 // Constants for the confirmation of a lost answer. If the backend gave fast answers to other requests during the attempt, the missing answer is
 // taken as lost and not as late.
 const (
-	// The age of partial evidence above which the evidence can no longer be confirmed. The reported window slots then no longer cover the attempt.
+	// Partial evidence that is older than this time cannot be confirmed, because the reported window slots no longer cover the attempt.
 	lossConfirmTimeout = 4 * time.Second
-	// The number of clean answers needed in the second half of the attempt's time-out.
+	// The number of clean answers that confirm a lost answer. They must have arrived in the second half of the time-out of the lost attempt.
 	minConfirmingAnswers = 2
 	// The mean latency of the confirming answers must be at most the attempt's time-out divided by this number.
 	confirmingLatencyDivisor = 6
@@ -32,11 +32,12 @@
 
 // Constants for the comparison of failure rates.
 const (
-	// The age of a report above which the reported window is no longer current.
+	// A report that is older than this time is not used for failure rates, because its window is no longer current.
 	freshWindow = 2 * time.Second
-	// The number of failures of a key from which all nodes are asked for reports. The failures of the node with the most failures do not count.
+	// All nodes are asked for reports on a key that has at least this number of failures. The failures of the node with the most failures do not
+	// count.
 	minFailuresToRequest = 2
-	// The number of answers of the service's other backends that a comparison needs.
+	// The comparison needs at least this number of answers of the service's other backends.
 	minServiceAnswers = 20
 	// The limit for the failure rate of a patient key is this multiple of the other backends' failure rate, but at least patientMinRate.
 	patientRateFactor = 2
@@ -51,8 +52,8 @@
 // minFailures is the number of failures that an ejection by failure rate needs, by mode.
 var minFailures = [modeCount]uint32{5, 8}
 
-// halfQuorumDelay is the time after a report request from which the answers of half of the nodes suffice. Before this time, three quarters of
-// the nodes must have answered.
+// halfQuorumDelay is the time for which the coordinator waits until three quarters of the nodes have answered a report request. After this time,
+// the answers of half of the nodes suffice.
 const halfQuorumDelay = 500 * time.Millisecond
 
 // assessment combines the reports on a key that belong to the current revision of its ejection.
@@ -71,9 +72,9 @@
 	selfDoubt bool
 	// The evidence of all included nodes that is not older than evidenceTTL.
 	items []Evidence
-	// The sum of the current windows of all included nodes.
+	// The sum of the windows of all included nodes. Only observations that are at most freshWindow old count.
 	total Window
-	// The current window of the node with the most failures. Empty if there is only one node.
+	// The window of the node with the most failures, among the windows in total. Empty if there is only one node.
 	worst Window
 }
 
@@ -137,7 +138,7 @@
 		return
 	}
 	sufficient := 0
-	if a.recovering { // The access is limited, so the loss of a single answer suffices for another ejection.
+	if a.recovering { // The access is limited. The lost answers of a single node therefore suffice for another ejection.
 		sufficient = len(losses)
 	}
 	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
@@ -175,8 +176,8 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// hasEnoughReports reports whether enough nodes have answered the current report request for a key. If the last request is older than
-// retryInterval, the function queues a new request. While answers are missing, the key is evaluated again at the next Tick.
+// hasEnoughReports reports whether enough nodes (halfQuorumDelay) have answered the current report request for a key. If the last request is at
+// least retryInterval old, the function queues a new request. If too few nodes have answered, the key is evaluated again at the next Tick.
 func (c *Coordinator) hasEnoughReports(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
@@ -196,9 +197,9 @@
 	return false
 }
 
-// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of the backend's zone has
-// recently observed an answer or a failure of the backend. Otherwise witnesses in other zones alone do not suffice, because their links to the
-// backend's zone may be faulty.
+// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. Witnesses in other zones do not suffice while nodes of the
+// backend's zone observe the backend, because the links between the zones may be faulty. The function also returns true if no node of the
+// backend's zone has recently observed an answer or a failure of the backend.
 func (c *Coordinator) hasWitnessInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
@@ -212,8 +213,8 @@
 
 // confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not merely late. The backend must have given
 // at least minConfirmingAnswers clean answers in the second half of the attempt's time-out. These answers must have been fast, and they must not
-// all have arrived at the same node. If there is only one node, the answers to this node suffice. at is the time when the attempt timed out, and
-// nodes is the number of live nodes.
+// all have arrived at the same node. If there is only one node, the answers to this node suffice. timedOutAt is the time when the attempt timed
+// out, and nodeCount is the number of live nodes.
 func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, timedOutAt time.Duration, nodeCount int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
@@ -234,8 +235,8 @@
 	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodeCount == 1 || isFast(total.minus(largest)))
 }
 
-// lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. settled is
-// false while a report request for the confirmation is not yet answered.
+// lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. complete is
+// false while a lost answer cannot be confirmed, because too few nodes have answered the report request (hasEnoughReports).
 func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, complete bool) {
 	complete = true
 	losses := a.evidence.losses
@@ -304,8 +305,8 @@
 	return others.attemptCount() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
 }
 
-// checkFailureRate reports in exceeds whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
-// observations of any one node are left out. witnesses are the nodes that observed failures, with the most failures first.
+// checkFailureRate reports in tooHigh whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
+// observations of any one node are left out. witnesses are the nodes that observed failures. The node with the most failures comes first.
 func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, tooHigh bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -27,7 +27,7 @@
 	StrayAnswer
 	// A second answer to a request that was already answered.
 	DuplicateAnswer
-	// An answer of another instance to a probe of this one.
+	// Another instance answered a probe of this instance.
 	WrongInstance
 	evidenceKindCount
 )
@@ -52,7 +52,7 @@
 // evidenceWeights holds the weight of each kind of evidence in the modes Strict and Patient. Weights are defined nowhere else.
 var evidenceWeights = [evidenceKindCount][modeCount]Weight{
 	ServerError: {ByRate, ByRate},
-	// An answer to a patient request that is missing at the time-out may only be late.
+	// If the answer to a patient request has not arrived at the time-out, the answer may be late and not lost.
 	LostAnswer:      {Partial, Ignored},
 	ConnectionReset: {Partial, ByRate},
 	MalformedAnswer: {Conclusive, ByRate},
@@ -100,7 +100,7 @@
 	return a.PartialAnswer || a.Malformed || a.Ending == control.Succeeded || a.Ending == control.Errored || a.Ending == control.Rejected
 }
 
-// Evidence is an item of conclusive or partial evidence.
+// Evidence is an item of conclusive or partial evidence in a node's report.
 type Evidence struct {
 	Kind    EvidenceKind
 	Age     time.Duration // The age of the evidence at the time of the report.
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -8,13 +8,14 @@
 
 // Intervals and bounds of a node's observations and reports.
 const (
-	// Evidence that a network link may have caused counts only after this delay.
+	// A lost answer or a connection reset counts as evidence only after this delay. During the delay, other observations may show that a network
+	// link caused the failure.
 	linkEvidenceDelay = 500 * time.Millisecond
-	// The value of keyState.reportWithin for a report that does not wait. 0 is not used for this, because it means that nothing is to be reported.
+	// The value of keyState.reportWithin for a report that is to be sent at once. The value 0 of this field means that nothing is to be reported.
 	reportNow = 1 * time.Nanosecond
 	// The minimum time between the last report on a key and a report of new evidence on the key.
 	reportDelay = 200 * time.Millisecond
-	// The minimum time between the last report on a key and a report of totals or of failures that count by rate.
+	// The minimum time between the last report on a key and a report that is sent for new totals or for new ByRate evidence.
 	slowReportDelay = time.Second
 	// The report on a key is repeated at this interval while its evidence has not expired.
 	reportInterval = 2 * time.Second
@@ -24,7 +25,7 @@
 	probeInterval = time.Second
 	// The interval between two NoneAvailable actions while no backend of a service is available.
 	noneAvailableInterval = 5 * time.Second
-	// The rate limit of a backend with limited access, for all nodes together.
+	// The number of requests per second that all nodes together may send to a backend with limited access.
 	limitedPerSecond = 10
 	// A connection reset by a backend does not count as evidence if at least this many other backends reset a connection within linkEvidenceDelay
 	// of the reset. The cause is then assumed to be this node or a network link.
@@ -207,8 +208,8 @@
 // Revision returns the current revision of a key's ejection. The host stores it with an attempt and passes it to RecordAttempt.
 func (n *Node) Revision(k Key) uint64 { return n.state.ejectionRevision(k) }
 
-// HandleProbe handles the result of a probe of instance id. by is the instance that answered, or "" if none did. healthy is true if the
-// answering instance reported that it is healthy.
+// HandleProbe handles the result of a probe of instance id. answeredBy is the instance that answered, or "" if no instance answered. healthy is
+// true if the answering instance reported that it is healthy.
 func (n *Node) HandleProbe(id, answeredBy InstanceID, healthy bool) {
 	instance := n.backends[id]
 	if instance == nil || !n.state.Enabled() {
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -64,7 +64,7 @@
 	n.active[state.key] = state
 }
 
-// RecordAttempt records how an attempt ended. sent is the time when the attempt was sent, and rev is the result of Revision at that time. The
+// RecordAttempt records how an attempt ended. sentAt is the time when the attempt was sent, and rev is the result of Revision at that time. The
 // host calls RecordAttempt once for each attempt.
 func (n *Node) RecordAttempt(k Key, rev uint64, sentAt time.Duration, end AttemptEnd) {
 	instance := n.backends[k.ID]
@@ -186,8 +186,8 @@
 	return k.delayedCount > 0 || k.ejectedUntil > now
 }
 
-// releaseDelayedEvidence processes the evidence whose delay is over. Evidence counts only if nothing in the meantime shows that a network link
-// or this node itself may have caused the failure. Other evidence is dropped.
+// releaseDelayedEvidence processes the evidence whose delay is over. It drops evidence if the observations during the delay show that a network
+// link or this node itself may have caused the failure. It counts all other evidence.
 func (n *Node) releaseDelayedEvidence() {
 	released := 0
 	for _, delayed := range n.delayed {
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The requirements of the recovery steps, and the TTL of unknown instances.
+// The requirements of the recovery steps, and the time after which ejections of instances that are not in the registry are removed.
 const (
 	// The upper limit of minEjectionDuration.
 	maxEjectionTime = 10 * time.Minute
@@ -15,7 +15,7 @@
 	readmitProbes = 3
 	// The number of clean answers that end the step ReadsOnly.
 	readmitReads = 20
-	// The number of clean answers that end the step LimitedWrites. The number doubles with each repeated ejection.
+	// The number of clean answers that end the step LimitedWrites after the first ejection. The number doubles with each repeated ejection.
 	readmitWrites = 40
 	// The maximum number of these doublings.
 	maxWriteDoublings = 4
--- a/internal/gateway/outlier/report.go
+++ b/internal/gateway/outlier/report.go
@@ -46,19 +46,19 @@
 // ReportRequest asks a node to report on the given keys at once, even if the node has observed nothing of them.
 type ReportRequest struct{ Keys []Key }
 
-// Action is something that a Node or a Coordinator asks its host to do.
+// Action is something that a Node or a Coordinator asks its host to do. The host is the program that embeds this package.
 type Action interface{ action() }
 
 // SendReport asks the host to send a report to the coordinator's node. The report may get lost.
 type SendReport struct{ Report Report }
 
-// SetAccess asks the host to apply an access to all further requests of this node to a backend in a mode. Interval is the minimum time between
-// two requests under Limited access.
+// SetAccess asks the host to limit this node's further requests to a backend. The limit is given by Access and applies to the requests in the mode
+// of the Key (Strict or Patient). Interval is the minimum time between two requests if Access is Limited.
 type SetAccess struct {
 	Key
 	Access   Access
 	Interval time.Duration
-	// True if the access is Closed because of a local ejection.
+	// True if the access is Closed because of a local ejection, by which this node closes the backend to its own requests only.
 	Local bool
 }
 
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if p := time.Duration(s.ProbeIdleAfter); p > 0 && p < time.Second {
-		return logentry.FieldErrorf("probe_silent", "%v is less than 1 s", p)
+		return logentry.FieldErrorf("probe_silent", "idle time %v is less than the minimum of 1 s", p)
 	}
 	return nil
 }
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -11,6 +11,7 @@
 
 // Bounds of the stored state.
 const (
+	// The maximum number of stored ejections.
 	maxEjections = 1024
 	// The maximum number of entries in the history.
 	maxHistory = 256
--- a/internal/gateway/outlier/window.go
+++ b/internal/gateway/outlier/window.go
@@ -22,7 +22,7 @@
 type Window struct {
 	// The number of clean answers.
 	Clean uint32
-	// The number of failures. Ignored and partial evidence does not count (evidenceWeights).
+	// The number of failures. Evidence with the weight Ignored or Partial is not counted here (evidenceWeights).
 	Failing uint32
 	// The sum of the latencies of the clean answers, in milliseconds.
 	LatencyMillis uint32
--- a/internal/gateway/registry/action.go
+++ b/internal/gateway/registry/action.go
@@ -14,8 +14,9 @@
 	Message Message
 }
 
-// Changed reports a backend that has changed since the last Changed for the backend. Record.Phase is the phase that
-// requests should see. It is also Gone if a backend that was first seen later has the same address.
+// Changed reports a backend that has changed since the last Changed for the backend. Record.Phase is the phase that the host
+// applies to requests. The phase is Gone also if the backend is displaced, which means that another backend with the same
+// address was first seen later.
 type Changed struct {
 	Record Record
 	// End of the backend's slow start, on the host's clock. A time in the past means that the backend is not in slow start.
@@ -23,7 +24,7 @@
 }
 
 // Acknowledge asks the host to answer a call. If Confirmed is true, the host answers HTTP 200 with OwnerAddr in the field
-// beat_target. Otherwise the host answers HTTP 503, and the backend retries the call at another node.
+// beat_target. If Confirmed is false, the host answers HTTP 503, and the backend retries the call at another node.
 type Acknowledge struct {
 	Ticket Ticket
 	// Control address for the next heartbeats. It is empty if no live node can own backends, or if the call is rejected.
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -7,9 +7,9 @@
 
 const (
 	// allCopiesTimeout is how long a departure waits for the acknowledgements of all peers that this node sends updates to,
-	// even if MinCopies nodes already have it.
+	// even if MinCopies nodes already have the departure.
 	allCopiesTimeout = 500 * time.Millisecond
-	// minCopiesTimeout is how long a departure waits for MinCopies copies. After this time the call fails.
+	// minCopiesTimeout is how long a departure waits until MinCopies nodes have the departure. After this time the call fails.
 	minCopiesTimeout = 800 * time.Millisecond
 	// callTimeout is the age of a call from which the answer would reach the backend too late. The backend calls another node
 	// if it has no answer within 1 s, and the answer takes time to arrive.
@@ -23,20 +23,21 @@
 // that may be lost. The rule does not depend on which node answers or on how many nodes are reachable. Copies at all
 // reachable nodes would not suffice, because a partition that has just begun may leave very few nodes reachable.
 //
-// The copies ensure that a departure survives the loss of nodes. They do not ensure that every node in contact with a
-// majority applies the departure. For this purpose, the following steps must happen within the drain time:
+// The copies ensure that a departure survives the loss of nodes. They do not ensure that every node that reaches a majority
+// of the nodes applies the departure. For this purpose, the following steps must happen within the drain time:
 //
 //   - A node with a disk sends the departure to all other nodes with a disk. The first node that has the departure
 //     sends it to each of these nodes. A node that the first node does not reach gets the departure from another node
-//     that reaches both (Message.Unreachable). For this step, a node that has the departure must reach a node in
-//     contact with a majority.
+//     that reaches both (Message.Unreachable). For this step, a node that has the departure must reach a node that
+//     reaches a majority.
 //   - A node with a disk sends the departure to all of its followers. A follower is in the list of followers of the node
 //     with the disk, or in the list of a node that forwards this node's updates.
-//   - A node without a disk follows only a node in contact with a majority, and receives all departures when it
-//     follows a new upstream.
+//   - A node without a disk follows only a node that reaches a majority. When the node without a disk follows a new
+//     upstream, it receives all departures.
 //
-// Any path that carries updates from nodes with a disk to the other nodes must preserve the last two steps. This holds
-// both if each node carries its own updates and if one node carries the updates for its zone.
+// Any path that carries updates from nodes with a disk to the other nodes must preserve the last two steps. This
+// requirement applies to a path on which each node carries its own updates, and to a path on which one node carries the
+// updates for its zone.
 type pendingCall struct {
 	ticket    Ticket
 	entry     *entry
@@ -44,8 +45,8 @@
 	since     time.Duration  // time of the call
 }
 
-// nextCheckAt returns the time at which the next of the two time-outs of the call ends (allCopiesTimeout and then
-// minCopiesTimeout).
+// nextCheckAt returns the time at which the call must be checked again. This is the end of allCopiesTimeout, or the end of
+// minCopiesTimeout if allCopiesTimeout has ended.
 func (p pendingCall) nextCheckAt(now time.Duration) time.Duration {
 	if now < p.since+allCopiesTimeout {
 		return p.since + allCopiesTimeout
@@ -53,15 +54,15 @@
 	return p.since + minCopiesTimeout
 }
 
-// rejectLastCall answers the last call as not confirmed and returns its ticket. A call is rejected if the registry is full or
-// if the call has no backend id.
+// rejectLastCall answers the call with the ticket lastTicket as not confirmed, and returns the ticket. A call is rejected if
+// the registry is full or if the call has no backend id.
 func (r *Registry) rejectLastCall() Ticket {
 	r.acknowledgements = append(r.acknowledgements, Acknowledge{Ticket: r.lastTicket})
 	return r.lastTicket
 }
 
-// answerOrStoreLastCall answers the last call at once if decideCall decides it. Otherwise it stores the call as pending. It also
-// sends the departure that the call reports to each peer that does not have the departure yet.
+// answerOrStoreLastCall answers the call with the ticket lastTicket if decideCall can decide the call now. If not, it stores
+// the call as pending. It also sends the departure that the call reports to each peer that does not have the departure yet.
 func (r *Registry) answerOrStoreLastCall(e *entry, requested departureState) {
 	call := pendingCall{ticket: r.lastTicket, entry: e, requested: requested, since: r.now}
 	if requested != notDeparting {
@@ -101,7 +102,7 @@
 // confirmed when MinCopies nodes with a disk have it and all peers that this node sends updates to have it. These nodes
 // forward the departure to the remaining nodes. After allCopiesTimeout, MinCopies copies are sufficient if at least one
 // other node has the departure. If too few nodes with a disk are reachable, the call fails at once, because another node
-// may reach enough of them.
+// may reach enough nodes with a disk.
 func (r *Registry) decideCall(call pendingCall) (confirmed, decided bool) {
 	if call.requested == notDeparting || r.hasNodes && r.knownCount == 0 {
 		return true, true
@@ -126,13 +127,15 @@
 	reachable int
 	// Number of the nodes in reachable that have the departure.
 	confirmed int
-	// Number of other nodes that have the departure, whether or not their copies count.
+	// Number of other nodes that have the departure. Nodes whose copies do not count are included.
 	notifiedPeers int
 	// True if all peers that this node sends updates to have the departure.
 	allNotified bool
 }
 
-// countCopies counts the copies of the departure that a call reports.
+// countCopies counts the nodes that have the departure that a call reports. This node has the departure. Another node has
+// the departure if it has sent or acknowledged the departure (entry.notified). Only nodes with a disk count as copies, or
+// all nodes if no node with a disk is known.
 func (r *Registry) countCopies(call pendingCall) copyCounts {
 	c := copyCounts{required: r.config.MinCopies, allNotified: true}
 	if !r.hasKnownDisk {
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -14,18 +14,20 @@
 )
 
 // sendsUpdatesTo reports whether this node sends its updates to a peer. While a node with a disk is live, the node sends
-// updates only to live nodes with a disk and to its followers. Otherwise it sends updates to all live peers.
+// updates only to live nodes with a disk and to its followers. If no node with a disk is live, it sends updates to all live
+// peers.
 func (r *Registry) sendsUpdatesTo(p *peer) bool {
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
 // broadcastRecord enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once.
-// Any other record is delayed by at most batchDelay and sent together with other changes.
+// A record that is not urgent is delayed by at most batchDelay and sent together with other changes.
 func (r *Registry) broadcastRecord(e *entry, urgent bool) { r.forwardRecord(e, nil, urgent) }
 
-// forwardRecord enqueues a backend's record for all peers that this node sends updates to, except for the peer "from" that
-// sent the record. If this peer has a disk, it has already sent the record to all other nodes with a disk. The record is
-// then forwarded only to peers without a disk. from is nil if the record did not come from a peer.
+// forwardRecord enqueues a backend's record for the peers that this node sends updates to. The parameter from is the peer
+// that sent the record, or nil if the record did not come from a peer. The record is not sent back to this peer. If this
+// peer has a disk, it has already sent the record to all other nodes with a disk. The record is then forwarded only to peers
+// without a disk.
 func (r *Registry) forwardRecord(e *entry, from *peer, urgent bool) {
 	for _, s := range r.peerSlots {
 		if p := r.peers[s]; p != from && r.sendsUpdatesTo(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
--- a/internal/gateway/registry/doc.go
+++ b/internal/gateway/registry/doc.go
@@ -1,5 +1,5 @@
 // Package registry maintains one node's list of the deployment's backends. It determines which backends exist, which node
-// owns each of them, and when a backend's call is confirmed to the backend. The package performs no actions itself. The
+// owns each of them, and when a backend's call is answered as confirmed. The package performs no actions itself. The
 // program that embeds the package, the host, passes inputs to a Registry and then calls Next until Next returns no more
 // actions. All times are offsets on the host's monotonic clock since the host's start.
 //
@@ -13,7 +13,7 @@
 //     address, so that backends send their next heartbeats there.
 //   - Fencing token: the number of a backend's changes of owner. 0 means that the backend has had no owner yet.
 //   - Departure: the fact that a backend is draining or has deregistered. A departure is never reverted while the
-//     registry remembers the backend.
+//     registry remembers the backend. A node that has recorded a departure has a copy of the departure.
 //   - Follower: a node without a disk that receives its updates from one node with a disk, its upstream.
 //   - Full sync: the transfer of all records of backends that are not gone to a new follower.
 //   - Suspicion: a node's report to the owner that another backend answers at a backend's address (HTTP 421).
@@ -55,7 +55,7 @@
 //     no majority, because it is on the smaller side of a partition, takes over nothing and times out only backends that
 //     call it directly. If the former owner is alive and still receives the backend's heartbeats, it takes the backend
 //     back. The node that had taken over then does not take the backend over again for takeoverHoldoffHeartbeats
-//     intervals. Otherwise the two nodes would take the backend from each other forever.
+//     intervals. Without this hold-off, the two nodes would take the backend from each other forever.
 //   - A step of the clock above stallThreshold means that this process was stalled and could read no heartbeats. All
 //     time-outs then restart.
 //   - The registry holds at most maxBackends entries, of which at most maxTombstones are tombstones. A tombstone is kept
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -32,8 +32,8 @@
 	slowStartUntil time.Duration
 	// Time of the last heartbeat that this node knows of, or of the last change of owner if that is later.
 	lastSeenAt time.Duration
-	// Time at which this node learned of the owner. It is also set when the owner is sent a suspicion, or the next owner is
-	// sent the record.
+	// Time at which this node learned of the owner. The time is set again when the owner is sent a suspicion, or when the
+	// node that should become the owner is sent the record. The next such message is sent an interval later.
 	ownerSince time.Duration
 	syncedAt   time.Duration // time of the last update of the backend from Registry.syncSource
 	// Time of the last heartbeat that this node received, from the backend or relayed.
@@ -44,7 +44,7 @@
 	noTakeoverUntil time.Duration
 	// True if this node timed out the backend by a suspicion that the owner has not confirmed yet.
 	suspected bool
-	// The highest departure state that each node is known to have.
+	// For each other node, the highest departure state of the backend that the node is known to have recorded.
 	notified map[Slot]departureState
 
 	changeQueued       bool          // the entry is in Registry.changedEntries
@@ -56,7 +56,8 @@
 // departureState returns the departure state of the backend.
 func (e *entry) departureState() departureState { return e.record.departureState() }
 
-// phase returns the phase of the backend, without regard to other backends at its address (visiblePhase regards them).
+// phase returns the phase of the backend. It ignores other backends at the same address. visiblePhase takes them into
+// account.
 func (e *entry) phase() Phase {
 	switch {
 	case e.record.Deregistered || e.timedOut:
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -11,7 +11,7 @@
 	// departureRetention is the time after the end of a backend during which its departure is still sent to a new follower.
 	// The follower may have been isolated and may still send requests to the backend.
 	departureRetention = 10 * time.Second
-	// fullSyncGrace is the time without an update from the upstream after which a full sync counts as ended.
+	// fullSyncGrace is the time since the last update of a full sync after which the receiver treats the full sync as ended.
 	fullSyncGrace = 3 * time.Second
 	// fullSyncTimeout limits the total duration of a full sync.
 	fullSyncTimeout = 10 * time.Second
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -40,7 +40,8 @@
 	return before == Gone && e.phase() != Gone
 }
 
-// mergeDetails applies the fields of an update that the backend reports about itself, except for departures.
+// mergeDetails copies the service, address, zone, generation, capacity and slow start of an update to the entry. The backend
+// reports these values about itself. It also reports its departure, which merge applies.
 func (r *Registry) mergeDetails(e *entry, update Record) {
 	if e.record.Addr != update.Addr {
 		r.reindexAddr(e, update.Addr)
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// timeOutOwnedIfOverdue times out a backend that this node owns if the backend missed its heartbeats or if it is displaced. If this
-// node reaches no majority, missed heartbeats count only for backends that sent their last heartbeat directly to this node.
-// Other backends may send their heartbeats to nodes that this node does not reach.
+// timeOutOwnedIfOverdue times out a backend that this node owns if the backend missed its heartbeats or if it is displaced
+// (isDisplaced). If this node reaches no majority, missed heartbeats count only for backends that sent their last heartbeat
+// directly to this node. Other backends may send their heartbeats to nodes that this node does not reach.
 func (r *Registry) timeOutOwnedIfOverdue(e *entry) {
 	timeout := missedHeartbeats * r.config.HeartbeatInterval
 	mayTimeOut := e.directHeartbeat || r.reachesMajority()
@@ -135,9 +135,10 @@
 	}
 }
 
-// takeOverIfOwnerLost takes over a backend whose owner has been lost for the grace period, if ownerFor returns this node. If ownerFor
-// returns another node that does not take over, takeOverIfOwnerLost sends that node the record. A node that reaches no majority takes
-// over nothing, because the owner may be live on the other side of a partition.
+// takeOverIfOwnerLost handles a backend whose owner has been lost for the grace period (ownerGraceHalfIntervals). If ownerFor
+// returns this node, this node takes the backend over. If ownerFor returns another node, and that node has not taken the
+// backend over after one more heartbeat interval, the function sends that node the record. A node that reaches no majority
+// takes over nothing, because the owner may be live on the other side of a partition.
 func (r *Registry) takeOverIfOwnerLost(e *entry) {
 	if !r.isUnreachable(e.record.Owner) || !r.reachesMajority() || r.now < e.noTakeoverUntil {
 		return
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -56,7 +56,8 @@
 type inFlightMessage struct {
 	seq uint64
 	ids []string
-	// Departure states in the first transmission, by index of ids. An acknowledgement proves that the receiver has them.
+	// Departure states in the first transmission, by index of ids. An acknowledgement proves that the receiver has recorded
+	// these departure states.
 	departures []departureState
 	suspicions []string
 	fullSync   bool
@@ -89,8 +90,8 @@
 	}
 }
 
-// addActivePeer adds a peer to Registry.activePeers. Next checks only these peers for messages, so that the cost of an input
-// does not grow with the number of idle peers.
+// addActivePeer adds a peer to Registry.activePeers. Next checks only the active peers for messages. The cost of a call or a
+// message that this node receives therefore does not grow with the number of idle peers.
 func (r *Registry) addActivePeer(p *peer) {
 	if p.active {
 		return
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// A new backend may use the address of a former backend that this node does not know to be gone. If several backends have
-// the same address, requests therefore see only the backend that was first seen most recently. The other backends at the
-// address are displaced.
+// This file determines which backends the host is told of (Changed). A new backend may use the address of a former backend,
+// and this node may not know yet that the former backend is gone. If several backends have the same address, only the
+// backend with the latest firstSeenAt therefore receives requests. The other backends at the address are displaced, which
+// means that they are published with the phase Gone.
 
 // reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
@@ -60,8 +61,8 @@
 	return false
 }
 
-// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for a
-// backend whose service is unknown.
+// visiblePhase returns the phase that is published for a backend. The host applies this phase to requests. The phase is Gone
+// for a displaced backend, and for a backend whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
 	if e.record.Service == "" || r.isDisplaced(e) {
 		return Gone
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -46,7 +46,7 @@
 	suspected      bool
 	// True if this node owned the backend and the backend was not gone.
 	owned bool
-	// True if this node received a heartbeat of the backend within the time-out.
+	// True if this node received a heartbeat of the backend within the last missedHeartbeats heartbeat intervals.
 	recentHeartbeat bool
 }
 
@@ -106,9 +106,10 @@
 	}
 }
 
-// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. This
-// happens only if this node still receives the backend's heartbeats. If the backend was taken over from a third node that
-// this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took the backend back.
+// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. It
+// takes the backend back only if this node still receives the backend's heartbeats. If the backend was taken over from a
+// third node that this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took
+// the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
--- a/internal/gateway/registry/record.go
+++ b/internal/gateway/registry/record.go
@@ -58,7 +58,8 @@
 	LostOwner Slot
 }
 
-// differsFrom reports whether the records differ in a field that other nodes depend on, apart from departures.
+// differsFrom reports whether the records differ in the service, address, zone, generation, capacity, fencing token or
+// owner. A change of one of these fields is sent to other nodes. Departures are compared by departureState.
 func (r *Record) differsFrom(other *Record) bool {
 	return r.Service != other.Service || r.Addr != other.Addr || r.Zone != other.Zone || r.Generation != other.Generation ||
 		r.Capacity != other.Capacity || r.FencingToken != other.FencingToken || r.Owner != other.Owner
--- a/internal/gateway/registry/registry.go
+++ b/internal/gateway/registry/registry.go
@@ -27,7 +27,8 @@
 	localSlot Slot
 	config    Config
 	now       time.Duration
-	// Time-outs of backends and owners are measured from this time at the earliest.
+	// Time-outs of backends and owners are not measured from an earlier time. It is the time of New, or the end of the last
+	// stall of this process (stallThreshold).
 	timeoutFloor time.Duration
 	nextScanAt   time.Duration
 	wakeAt       time.Duration // deadline of the last Wake
@@ -175,7 +176,7 @@
 }
 
 // Next returns the next action for the host. The second result is false if there is none. The host calls Next after every
-// input until it returns false.
+// input until Next returns false.
 func (r *Registry) Next() (Action, bool) {
 	if len(r.acknowledgements) > 0 {
 		a := r.acknowledgements[0]
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -44,7 +44,7 @@
 	return s
 }
 
-// Backends returns the backends that are not gone, sorted by id. SlowStartLeft and Age are as of the last Tick.
+// Backends returns the backends whose visible phase is not Gone, sorted by id. SlowStartLeft and Age are as of the last Tick.
 func (r *Registry) Backends() []Record {
 	var records []Record
 	for _, e := range r.sorted {
@@ -55,8 +55,8 @@
 	return records
 }
 
-// HasReadyBackend reports whether requests see any backend as Ready. It stops at the first such backend, because the host
-// calls it at least once a second.
+// HasReadyBackend reports whether the visible phase of any backend is Ready. It stops at the first such backend, because the
+// host calls HasReadyBackend at least once a second.
 func (r *Registry) HasReadyBackend() bool {
 	return slices.ContainsFunc(r.sorted, func(e *entry) bool { return r.visiblePhase(e) == Ready })
 }
--- a/internal/gateway/registry/testingknobs_debug.go
+++ b/internal/gateway/registry/testingknobs_debug.go
@@ -9,4 +9,5 @@
 	TrustUnconfirmedPeers bool
 }
 
+// trustUnconfirmedPeers returns the value of TrustUnconfirmedPeers.
 func (t TestingKnobs) trustUnconfirmedPeers() bool { return t.TrustUnconfirmedPeers }
--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -6,4 +6,5 @@
 // prevents. The test runs once with the safeguard and once without it.
 var safeguardDisabledCases = []bool{false, true}
 
+// knobsTrustingPeers returns testing knobs with the given value of TrustUnconfirmedPeers.
 func knobsTrustingPeers(trustUnconfirmed bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trustUnconfirmed} }
--- a/internal/gateway/registry/testingknobs_release.go
+++ b/internal/gateway/registry/testingknobs_release.go
@@ -6,4 +6,5 @@
 // the knobs.
 type TestingKnobs struct{}
 
+// trustUnconfirmedPeers returns false, because a release build always has the safeguard.
 func (TestingKnobs) trustUnconfirmedPeers() bool { return false }
--- a/internal/gateway/registry/testingknobs_release_test.go
+++ b/internal/gateway/registry/testingknobs_release_test.go
@@ -6,4 +6,5 @@
 // prevents. A release build cannot disable a safeguard, so the test runs only with the safeguard.
 var safeguardDisabledCases = []bool{false}
 
+// knobsTrustingPeers returns the empty testing knobs of a release build. The argument has no effect.
 func knobsTrustingPeers(bool) TestingKnobs { return TestingKnobs{} }
