--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -90,6 +90,7 @@
 			cleared = cleared || e.Verb == Clear
 			return result
 		}
+		// runTurn calls the coordinator's Tick and applies the proposed entries to the state.
 		runTurn := func() {
 			now += 10 * time.Millisecond
 			coordinator.Tick(now)
@@ -216,6 +217,7 @@
 		node.ApplyState(s, nil)
 		access := map[Key]Access{}
 		now, connected, reported, gone, lostAt := time.Duration(0), true, 0, false, time.Duration(-1)
+		// run advances the clock by a duration and checks the node's actions. Instance i-2 answers a request in each step if answering is true.
 		run := func(duration time.Duration, answering bool) {
 			for end := now + duration; now < end; {
 				now += 100 * time.Millisecond
@@ -297,6 +299,7 @@
 // A failure rate must lead to an ejection only if the rate remains too high when the observations of any one node are left out.
 func TestSingleZoneOrSingleNodeEvidence(t *testing.T) {
 	t.Parallel()
+	// countEjections returns the number of proposed ejections. makeReports returns the reports of the nodes, by node, with the given sequence number.
 	countEjections := func(makeReports func(seq uint64) []Report) (ejections int) {
 		coordinator := NewCoordinator(1, 0)
 		coordinator.SetNodeCount(4)
@@ -317,6 +320,8 @@
 		}
 		return ejections
 	}
+	// report returns a node's report on instance i-1 with the given counts of i-1 and one item of evidence of each given kind. The other backends of
+	// the service gave 50 clean answers.
 	report := func(seq uint64, zone string, clean, failing uint32, kinds ...EvidenceKind) Report {
 		r := newReport(seq, 0, "i-1", kinds...)
 		r.Zone, r.Observations[0].Window = zone, Window{Clean: clean, Failing: failing}
@@ -507,6 +512,7 @@
 		node.SetBackend(readyBackend(id))
 	}
 	node.ApplyState(s, nil)
+	// closedCount returns the number of backends that are closed to the node's requests of a mode.
 	closedCount := func(m Mode) (n int) {
 		for _, id := range ids {
 			if access[Key{id, m}] == Closed {
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond // The step of the simulated clock.
 	ms           = time.Millisecond
 	farFuture    = time.Hour // Later than the end of every simulation.
 )
@@ -27,11 +27,11 @@
 // simService is a service of the simulated site.
 type simService struct {
 	name                string
-	backendCount        int     // The number of backends at the start.
-	writeRate, readRate float64 // Strict and patient requests per second, over all nodes.
-	typicalLatency      time.Duration
-	timeout             time.Duration
-	backends            []*simBackend
+	backendCount        int           // The number of backends at the start.
+	writeRate, readRate float64       // Strict and patient requests per second, over all nodes.
+	typicalLatency      time.Duration // The median latency of a backend with the latencyFactor 1.
+	timeout             time.Duration // The time-out of a request.
+	backends            []*simBackend // The backends that are not gone.
 }
 
 // faultFunc returns the kind of evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency.
@@ -46,8 +46,8 @@
 	faultStart      time.Duration // The start of the fault.
 	faultEnd        time.Duration // The end of the fault. 0: the fault does not end.
 	crashed         bool
-	latencyFactor   float64
-	firstEvidenceAt time.Duration // The time when a node first saw evidence.
+	latencyFactor   float64       // The backend's typical latency, as a multiple of the service's typical latency.
+	firstEvidenceAt time.Duration // The time when a node first saw evidence after faultStart. farFuture: no evidence yet.
 	faulty          bool          // True if the backend itself has a fault, as opposed to a link to it.
 	requests        []*simRequest // The requests in flight.
 }
@@ -70,13 +70,13 @@
 	slot        Slot
 	zone        int
 	state       *State
-	applied     int                   // The number of applied entries.
-	applyAt     map[int]time.Duration // The time when each entry arrives, by index.
+	applied     int                   // The number of log entries that the node has applied.
+	applyAt     map[int]time.Duration // The time when each log entry arrives at the node, by index of the entry.
 	access      map[Key]SetAccess
 	inFlight    map[Key]int // The number of requests in flight.
 	lastSentAt  map[Key]time.Duration
 	forgeReport func(node *simNode) *Report // Returns a false report of a lying node. Nil if the node reports the truth.
-	unserved    int                         // The number of requests for which no backend was open.
+	unserved    int                         // The number of requests for which pickBackend returned no backend.
 }
 
 // simulation is a site with nodes in three zones, its backends, the core's log and the links between them.
@@ -100,18 +100,18 @@
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	// The largest number of backends not open to patient requests, as a fraction of the allowed number. The allowed number is the number of ready
-	// backends minus Settings.requiredInService.
+	// Logged as max_closed_fraction: the largest number of a service's ready backends that were not open to a node's patient requests, as a fraction of the allowed
+	// number, which is the number of ready backends minus Settings.requiredInService.
 	maxClosedFraction    float64
-	wronglyClosed        time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
-	wronglyClosedLocally time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
+	wronglyClosed        time.Duration // The total time in which ejections closed healthy backends to strict requests, averaged over the nodes.
+	wronglyClosedLocally time.Duration // The same total for local ejections.
 	wronglyEjected       map[InstanceID]bool
 	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
 
 // partition separates one zone or one node from everything else for a period.
 type partition struct {
-	zone, node int // -1: none.
+	zone, node int // The index of the separated zone or of the separated node. The other value is -1.
 	from, to   time.Duration
 }
 
@@ -133,6 +133,7 @@
 	}
 }
 
+// newSimulation returns a simulation with the given number of nodes and the services of a site. Outlier detection is enabled.
 func newSimulation(seed int64, nodes int, services []*simService) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), services: services, state: NewState(),
 		events: map[time.Duration][]func(){}, faultCounts: map[EvidenceKind]int{}, wronglyEjected: map[InstanceID]bool{}}
@@ -153,8 +154,10 @@
 	return sim
 }
 
+// zoneName returns the name of the zone with the given index, from 0 to 2.
 func zoneName(zoneIndex int) string { return fmt.Sprint("zone-", zoneIndex) }
 
+// startBackend starts a backend of a service in the zone with the given index, and registers the backend.
 func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
 	sim.startedBackends++
 	b := &simBackend{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", sim.startedBackends)), Service: svc.name, Zone: zoneName(zone)}, service: svc,
@@ -164,6 +167,7 @@
 	return b
 }
 
+// updateRegistry passes a backend's description to all nodes and to the coordinator, as the registry does after a change.
 func (sim *simulation) updateRegistry(b *simBackend) {
 	for i, node := range sim.nodes {
 		instance := b.Backend
@@ -173,6 +177,7 @@
 	sim.coordinator.SetBackend(b.Backend)
 }
 
+// startCoordinator replaces the coordinator by a new one on the node with the given index.
 func (sim *simulation) startCoordinator(fencingToken uint64, node int) {
 	sim.coordinator, sim.coordinatorNode = NewCoordinator(fencingToken, sim.now), node
 	sim.coordinator.SetNodeCount(len(sim.nodes))
@@ -184,8 +189,8 @@
 	sim.coordinator.ApplyState(sim.state, nil)
 }
 
-// partitionEnd returns the time when the last current partition between two participants ends, or 0 if they can reach each other. A participant
-// is a node in a zone, or a backend in a zone if the node is -1.
+// partitionEnd returns the time when the last current partition between two participants A and B ends, or 0 if A and B can reach each other. A
+// participant is given by the index of its node and the index of its zone. If the node is -1, the participant is a backend in the zone.
 func (sim *simulation) partitionEnd(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
 	for _, p := range sim.partitions {
 		if sim.now < p.from || sim.now >= p.to {
@@ -333,6 +338,7 @@
 	}
 }
 
+// zoneIndexOf returns the index of a backend's zone, which is the last digit of the zone's name.
 func zoneIndexOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
 
 // deliverReport delivers a report to the coordinator. One of fifty reports is lost, and one of fifty is duplicated.
@@ -369,8 +375,8 @@
 	}
 }
 
-// pickBackend returns a backend of the node's zone to which the node may send a request now, or such a backend of another zone if the node's zone
-// has none. It returns nil if there is no such backend in any zone. About one request in ten goes to another zone.
+// pickBackend returns a backend to which the node may send a request now. Backends of the node's zone are preferred, but about one request in ten
+// goes to another zone. If the node may send a request to no backend of any zone, the result is nil.
 func (sim *simulation) pickBackend(node *simNode, svc *simService, m Mode) *simBackend {
 	var near, far []*simBackend
 	for _, b := range svc.backends {
@@ -395,6 +401,7 @@
 	return near[sim.rng.Intn(len(near))]
 }
 
+// sendRequest sends a request to a backend and schedules the end of the request. The outcome depends on the backend's fault and on partitions.
 func (sim *simulation) sendRequest(node *simNode, b *simBackend, m Mode) {
 	svc := b.service
 	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now,
@@ -447,6 +454,7 @@
 	sim.schedule(latency, func() { sim.endRequest(req) })
 }
 
+// endRequest ends a request and records its outcome at the node. It does nothing if the request has already ended.
 func (sim *simulation) endRequest(req *simRequest) {
 	if req.done {
 		return
@@ -502,8 +510,9 @@
 	}
 }
 
-// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If caller is not -1, the fault
-// is a link fault: it affects only requests from nodes of the zone with the number caller to backends of other zones.
+// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If callerZone is -1, the fault
+// affects the requests of all nodes. If callerZone is the index of a zone, the fault is a link fault and affects only the requests from nodes of
+// this zone to backends of other zones.
 func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, callerZone int) {
 	var candidates []*simBackend
 	for _, b := range sim.backends {
@@ -547,6 +556,7 @@
 	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneIndexOf(b)) })
 }
 
+// setPhase changes the phase of a backend and updates the registry.
 func (sim *simulation) setPhase(b *simBackend, p Phase) {
 	b.Phase = p
 	if p == Gone {
@@ -681,7 +691,8 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d worst_patient_share=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
+		t.Logf(
+			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_fraction=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
@@ -748,7 +759,7 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d",
+							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejections_in_service=%d service=%s ejections_in_total=%d",
 								lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
@@ -764,7 +775,7 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_with_several_witnesses=%d wrongly_closed=%v",
+		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_ejections_with_several_witnesses=%d wrongly_closed=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
@@ -794,17 +805,17 @@
 		caller       int           // Only requests from this zone to backends of other zones are affected. -1: all requests.
 		maxMedian    time.Duration // The limit for the median time to the ejection. 0: no ejection is expected.
 	}{
-		{"one answer in forty lost", 12, smallSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one answer in forty lost", 96, largeSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one request in forty answered twice", 12, smallSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one request in forty answered twice", 96, largeSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all answers without a seal", 12, smallSiteServices, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one request in five answered with 5xx", 12, smallSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one request in five answered with 5xx", 96, largeSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine answers in ten without a seal", 96, largeSiteServices, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one answer in ten lost, on links of a zone", 12, smallSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one answer in ten lost, on links of a zone", 96, largeSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all backends answer half with 5xx", 12, smallSiteServices, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"small site: one answer in forty is lost", 12, smallSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"large site: one answer in forty is lost", 96, largeSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"small site: one request in forty is answered twice", 12, smallSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"large site: one request in forty is answered twice", 96, largeSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"small site: no answer has the header X-Backend-Seal", 12, smallSiteServices, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"small site: one request in five is answered with 5xx", 12, smallSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"large site: one request in five is answered with 5xx", 96, largeSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"large site: nine answers in ten lack X-Backend-Seal", 96, largeSiteServices, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"small site: one answer in ten from other zones to zone 2 is lost", 12, smallSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"large site: one answer in ten from other zones to zone 2 is lost", 96, largeSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"small site: all backends answer half of the requests with 5xx", 12, smallSiteServices, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
@@ -825,7 +836,9 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults=%d ejections=%d keys=%d unserved=%d", tc.name, tc.nodes,
+		t.Logf(
+			"%-70s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults_per_run=%d ejections=%d ejected_keys=%d unserved_requests=%d",
+			tc.name, tc.nodes,
 			medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -12,8 +12,8 @@
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// sendDrainCall has a backend report to a node that the backend is draining. The parameter at is the slot of the node. The
-// results are the answer and whether the node has answered yet.
+// sendDrainCall has a backend report to the node receiver that the backend is draining. The results are the answer and
+// whether the node has answered yet.
 func (f *fleet) sendDrainCall(b *backend, receiver Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
 	ticket := f.registries[receiver].Heartbeat(b.Record)
@@ -32,19 +32,20 @@
 		b := newBackend(1)
 		f.sendHeartbeat(b, 1)
 		f.advance(time.Second)
-		for _, isolated := range []Slot{receiver, 0} { // the node itself and the upstream of node 3
+		for _, isolated := range []Slot{receiver, 0} { // the node that receives the drain call, and node 0, which is the upstream of node 3
 			for _, o := range []Slot{1, 2} {
 				f.partitionNodes(isolated, o)
 			}
 		}
 		f.updateNodes()
 		a, answered := f.sendDrainCall(b, receiver)
-		must.True(t, answered, must.Sprint("drain call during the partition, at node ", receiver))
-		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", receiver))
+		must.True(t, answered, must.Sprint("a drain call during the partition must be answered at once; the call was sent to node ", receiver))
+		must.False(t, a.Confirmed, must.Sprint("a drain call with too few reachable disks must not be confirmed; the call was sent to node ", receiver))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
 		a, answered = f.sendDrainCall(b, receiver)
-		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", receiver))
+		must.True(t, answered && a.Confirmed,
+			must.Sprint("a drain call after the end of the partition must be confirmed at once; the call was sent to node ", receiver))
 		f.requirePhase(b.ID, Draining)
 	}
 }
@@ -59,7 +60,7 @@
 	f.advance(time.Second)
 	f.partitionNodes(0, 2)
 	f.updateNodes()
-	f.partitionNodes(0, 1) // not noticed by any node
+	f.partitionNodes(0, 1) // No node notices this partition.
 	_, answered := f.sendDrainCall(b, 0)
 	must.False(t, answered)
 	f.advance(minCopiesTimeout)
@@ -105,9 +106,9 @@
 	}
 }
 
-// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node with
-// the slot at. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes
-// notice the partition before the call, otherwise after the call.
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node
+// receiver. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes notice
+// the partition before the call. If noticed is false, they notice the partition after the call.
 func requireDrainAroundPartition(t *testing.T, b *backend, receiver Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
@@ -129,7 +130,8 @@
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
 	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", receiver))
+	must.LessEq(t, before+60, f.messages,
+		must.Sprint("more than 60 messages were sent after all nodes had the departure; the drain call was sent to node ", receiver))
 }
 
 // TestNewFollowerReceivesDepartures guards against a new follower that keeps sending requests to a backend that deregistered
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// takeMessages takes all messages that the node sends now and returns the number of updates in them. The parameter after is
-// the time until the acknowledgement of each message is delivered.
+// takeMessages takes all messages that the node sends now and returns the number of updates in them. The acknowledgement of
+// each message becomes due after ackDelay.
 func (c *upstreamFixture) takeMessages(ackDelay time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
@@ -59,7 +59,8 @@
 	return sent
 }
 
-// runUntil advances the clock to t. The parameter after is the time until the acknowledgement of each message is delivered.
+// runUntil advances the clock to the time until, in steps of 10 ms. The acknowledgement of each message is delivered after
+// ackDelay.
 func (c *upstreamFixture) runUntil(until time.Duration, ackDelay time.Duration) {
 	for now := c.registry.now; now <= until; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
@@ -183,10 +184,11 @@
 			}
 			c.unacked = append(c.unacked, pendingAck{now, m.Target, m.Message.Seq})
 		}
-		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs had no zone sync queued ahead of them.
+		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs are not checked, because no zone sync was queued ahead of them.
 			must.MapLen(t, followers, inZone)
 			for s := range inZone {
-				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("backends of the own zone that were sent before further full syncs: node=%d time=%v", s, now))
+				must.MapLen(t, backends/zones, inZone[s],
+					must.Sprintf("all backends of a follower's zone must be sent before further full syncs start: follower=%d time=%v", s, now))
 			}
 		}
 		for _, ack := range c.unacked {
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// This file determines which backends the host is told of (Changed). A new backend may use the address of a former backend,
-// and this node may not know yet that the former backend is gone. If several backends have the same address, only the
-// backend with the latest firstSeenAt therefore receives requests. The other backends at the address are displaced, which
-// means that they are published with the phase Gone.
+// This file determines which changes of backends are reported to the host (Changed). A new backend may use the address of a
+// former backend, and this node may not know yet that the former backend is gone. If several backends that are not gone have
+// the same address, requests are therefore sent only to the backend with the latest firstSeenAt. The other backends at the
+// address are displaced, which means that they are published with the phase Gone.
 
 // reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -28,7 +28,7 @@
 	views    map[Slot]map[string]Record      // record of the last Changed action, by node and backend id
 }
 
-// newFleet starts n nodes. The parameter disks is the number of nodes with a disk.
+// newFleet starts nodeCount nodes. The diskCount nodes with the lowest slots have a disk.
 func newFleet(t *testing.T, nodeCount, diskCount int) *fleet {
 	f := &fleet{t: t, registries: map[Slot]*Registry{}, live: map[Slot]bool{}, partitioned: map[[2]Slot]bool{}, disks: diskCount,
 		acks: map[Slot]map[Ticket]Acknowledge{}, views: map[Slot]map[string]Record{}}
@@ -119,8 +119,8 @@
 	target Slot
 }
 
-// sendHeartbeat has a backend send a heartbeat to the node with the slot at and returns the answer. The answer is zero if the
-// node has not answered yet. The target of the backend's next heartbeat becomes the node that the answer names.
+// sendHeartbeat has a backend send a heartbeat to the node receiver and returns the answer. The answer is the zero value if
+// the node has not answered yet. If the answer names a node, that node becomes the target of the backend's next heartbeat.
 func (f *fleet) sendHeartbeat(b *backend, receiver Slot) Acknowledge {
 	b.Seq++
 	ticket := f.registries[receiver].Heartbeat(b.Record)
@@ -132,18 +132,19 @@
 	return a
 }
 
+// newBackend returns a ready backend whose id and address contain the index.
 func newBackend(index int) *backend {
 	return &backend{Record: Record{ID: fmt.Sprint("i-", index), Service: "s", Capacity: 4,
 		Addr: fmt.Sprint("10.0.0.", index, ":80")}}
 }
 
-// requirePhase requires that the record in the last Changed action for the backend has the phase want at each live node. If
-// want is Gone, a node may also have returned no Changed action for the backend.
+// requirePhase requires that each live node has reported the phase want in its last Changed action for the backend. If want
+// is Gone, a node may also have returned no Changed action for the backend.
 func (f *fleet) requirePhase(id string, want Phase) {
 	f.t.Helper()
 	for s := range f.registries {
 		if record, ok := f.views[s][id]; f.live[s] && (ok || want != Gone) {
-			must.Eq(f.t, want, record.Phase, must.Sprintf("phase that node %d reported for backend %s", s, id))
+			must.Eq(f.t, want, record.Phase, must.Sprintf("phase in the last Changed action: node=%d backend=%s", s, id))
 		}
 	}
 }
@@ -582,7 +583,7 @@
 			case 6:
 				f.registries[x].ReportAddressConflict(b.ID)
 			}
-			for range 2 { // Faults are noticed before the next heartbeats, after them, or not at all.
+			for range 2 { // The nodes notice the fault before the next heartbeats, after the next heartbeats, or not at all.
 				if rng.Intn(2) == 0 {
 					f.updateNodes()
 				}
@@ -611,7 +612,7 @@
 			}
 			f.requirePhase(b.ID, want)
 		}
-		must.Eq(t, 0, f.messages, must.Sprint("messages were sent although nothing changed; seed: ", seed))
+		must.Eq(t, 0, f.messages, must.Sprint("number of messages in the last three heartbeat intervals, in which nothing changes; seed=", seed))
 	}
 }
 
@@ -634,10 +635,10 @@
 		for i := range 60 {
 			b := newBackend(i)
 			b.Seq, b.Phase = 9, Draining
-			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("the drain call is not confirmed at once, although all nodes are reachable"))
+			must.True(t, f.sendHeartbeat(b, Slot(i%n)).Confirmed, must.Sprint("a drain call must be confirmed at once while all nodes are reachable"))
 		}
 		// Each node receives an update and acknowledges it.
-		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes send too many messages for 60 departures"))
+		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes must not send more than 60*(2*nodes+20) messages for 60 departures"))
 		f.advance(time.Second)
 		f.messages = 0
 		f.startNode(Slot(n - 1))
--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -7,4 +7,6 @@
 var safeguardDisabledCases = []bool{false, true}
 
 // knobsTrustingPeers returns testing knobs with the given value of TrustUnconfirmedPeers.
-func knobsTrustingPeers(trustUnconfirmed bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trustUnconfirmed} }
+func knobsTrustingPeers(trustUnconfirmed bool) TestingKnobs {
+	return TestingKnobs{TrustUnconfirmedPeers: trustUnconfirmed}
+}
--- a/internal/gateway/registry/wire_test.go
+++ b/internal/gateway/registry/wire_test.go
@@ -23,7 +23,7 @@
 		Suspicions: []Record{fullRecord("suspicion")}, Acks: []uint64{1, 2}, FullSync: true, Unreachable: []Slot{3, 4}}
 	for _, v := range []reflect.Value{reflect.ValueOf(m), reflect.ValueOf(m.Updates[0]), reflect.ValueOf(*m.ToWire()), reflect.ValueOf(m.ToWire().Words[0])} {
 		for i := range v.NumField() {
-			must.False(t, v.Field(i).IsZero(), must.Sprintf("%s.%s is not set", v.Type(), v.Type().Field(i).Name))
+			must.False(t, v.Field(i).IsZero(), must.Sprintf("the field %s.%s is zero, but the test needs a value in each field", v.Type(), v.Type().Field(i).Name))
 		}
 	}
 	must.Eq(t, m, m.ToWire().ToMessage())
