--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -28,13 +28,13 @@
 // ejectionAccess returns the access that a key's ejection allows. It is Open if the key has no ejection or if outlier detection is disabled.
 func (n *Node) ejectionAccess(k Key) Access {
 	if ejection := n.state.Ejection(k); ejection != nil && n.state.Enabled() {
-		return ejection.access()
+		return ejection.allowedAccess()
 	}
 	return Open
 }
 
 // updatePatientAccess sets this node's access to each backend of a service for patient requests. If the ejections leave fewer backends open
-// than Settings.requiredInService returns, the least unhealthy ejected backends are opened until the required number is open.
+// than Settings.minBackendsInService returns, the least unhealthy ejected backends are opened until the required number is open.
 func (n *Node) updatePatientAccess(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
@@ -51,7 +51,7 @@
 		}
 		return a.compare(b.Key)
 	})
-	shortfall := max(0, n.state.Settings().requiredInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
+	shortfall := max(0, n.state.Settings().minBackendsInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
 	invariant.Assert(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
--- a/internal/gateway/outlier/ejection.go
+++ b/internal/gateway/outlier/ejection.go
@@ -42,8 +42,8 @@
 	Reason string
 }
 
-// access returns the access that an ejection allows for requests of its mode.
-func (e *Ejection) access() Access {
+// allowedAccess returns the access that an ejection allows for requests of its mode.
+func (e *Ejection) allowedAccess() Access {
 	switch {
 	case e.Step == InService:
 		return Open
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -346,17 +346,17 @@
 	must.Positive(t, countEjections(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, DuplicateAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	// confirmedBy returns the reports of two nodes with a lost answer and of two other nodes. The parameter confirming is the number of other nodes
+	// newLossReports returns the reports of two nodes with a lost answer and of two other nodes. The parameter confirming is the number of other nodes
 	// that report fast answers during the attempts.
-	confirmedBy := func(seq uint64, confirming int) []Report {
+	newLossReports := func(seq uint64, confirming int) []Report {
 		reports := []Report{report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range confirming {
 			reports[2+i].Observations[0].Slots = slices.Repeat([]Window{{Clean: 50, LatencyMillis: 5000}}, maxReportedSlots)
 		}
 		return reports
 	}
-	must.Eq(t, 0, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 1) }))
-	must.Positive(t, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 2) }))
+	must.Eq(t, 0, countEjections(func(seq uint64) []Report { return newLossReports(seq, 1) }))
+	must.Positive(t, countEjections(func(seq uint64) []Report { return newLossReports(seq, 2) }))
 	invalid := report(1, "a", 0, 0, evidenceKindCount) // A report with an unknown kind of evidence must be ignored and must cause no panic.
 	must.Eq(t, 0, countEjections(func(uint64) []Report { return []Report{invalid} }))
 }
@@ -485,7 +485,7 @@
 	must.Nil(t, s.Ejection(Key{"i-0018", Strict}))
 }
 
-// Guards against a service that keeps fewer backends open to patient requests than Settings.requiredInService. When all backends are ejected, no
+// Guards against a service that keeps fewer backends open to patient requests than Settings.minBackendsInService. When all backends are ejected, no
 // backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must stay open to
 // patient requests. A node that sees all backends fail must doubt its own observations and locally eject only half of the backends.
 func TestMinimumInService(t *testing.T) {
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -73,8 +73,8 @@
 	return Patient
 }
 
-// requiredInService returns how many of a service's ready backends must stay in service for patient requests.
-func (s *Settings) requiredInService(ready int) int {
+// minBackendsInService returns how many of a service's ready backends must stay in service for patient requests.
+func (s *Settings) minBackendsInService(ready int) int {
 	return min(ready, max(s.MinInService, (ready*s.MinInServicePercent+99)/100))
 }
 
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -100,8 +100,8 @@
 	ejections, wrongEjections        int
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
 	reportsSent                      int
-	// Logged as max_closed_fraction: the largest number of a service's ready backends that were not open to a node's patient requests, as a fraction of the allowed
-	// number, which is the number of ready backends minus Settings.requiredInService.
+	// The largest number of a service's ready backends that were not open to a node's patient requests. The value is a fraction of the allowed
+	// number, which is the number of ready backends minus Settings.minBackendsInService. It is logged as max_closed_fraction.
 	maxClosedFraction    float64
 	wronglyClosed        time.Duration // The total time in which ejections closed healthy backends to strict requests, averaged over the nodes.
 	wronglyClosedLocally time.Duration // The same total for local ejections.
@@ -204,8 +204,8 @@
 	return until
 }
 
-// schedule enqueues an event that the simulation runs after a delay of at least one tick.
-func (sim *simulation) schedule(delay time.Duration, event func()) {
+// scheduleEvent enqueues an event that the simulation runs after a delay of at least one tick.
+func (sim *simulation) scheduleEvent(delay time.Duration, event func()) {
 	at := (sim.now + max(delay, tickInterval)).Truncate(tickInterval)
 	sim.events[at] = append(sim.events[at], event)
 }
@@ -258,15 +258,15 @@
 	}
 }
 
-// run advances the simulation by a duration.
-func (sim *simulation) run(duration time.Duration) {
+// runFor advances the simulation by a duration.
+func (sim *simulation) runFor(duration time.Duration) {
 	for end := sim.now + duration; sim.now < end; {
-		sim.step()
+		sim.advanceOneTick()
 	}
 }
 
-// step advances the simulation by one tick.
-func (sim *simulation) step() {
+// advanceOneTick advances the simulation by one tick.
+func (sim *simulation) advanceOneTick() {
 	sim.now += tickInterval
 	for _, event := range sim.events[sim.now] {
 		event()
@@ -289,12 +289,12 @@
 		switch action := action.(type) {
 		case Propose:
 			if sim.hasQuorum() {
-				sim.schedule(tickInterval, func() { sim.appendEntry(action.Entry) })
+				sim.scheduleEvent(tickInterval, func() { sim.appendEntry(action.Entry) })
 			}
 		case BroadcastRequest:
 			for _, node := range sim.nodes {
 				if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
-					sim.schedule(tickInterval, func() { node.HandleReportRequest(action.Request) })
+					sim.scheduleEvent(tickInterval, func() { node.HandleReportRequest(action.Request) })
 				}
 			}
 		}
@@ -326,7 +326,7 @@
 		case Probe:
 			for _, b := range sim.backends {
 				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)) == 0 {
-					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
+					sim.scheduleEvent(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
 				}
 			}
 		}
@@ -352,7 +352,7 @@
 		copies = 2
 	}
 	for range copies {
-		sim.schedule(time.Duration(sim.rng.Intn(60))*ms, func() {
+		sim.scheduleEvent(time.Duration(sim.rng.Intn(60))*ms, func() {
 			if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
 				sim.coordinator.HandleReport(node.slot, report)
 			}
@@ -451,7 +451,7 @@
 		latency = tickInterval
 	}
 	b.requests = append(slices.DeleteFunc(b.requests, func(r *simRequest) bool { return r.done }), req)
-	sim.schedule(latency, func() { sim.endRequest(req) })
+	sim.scheduleEvent(latency, func() { sim.endRequest(req) })
 }
 
 // endRequest ends a request and records its outcome at the node. It does nothing if the request has already ended.
@@ -468,7 +468,7 @@
 	node.Node.now = sim.now
 	node.RecordAttempt(req.key, req.rev, req.sentAt, req.outcome)
 	if req.laterEvidence != NoEvidence {
-		sim.schedule(2*tickInterval, func() {
+		sim.scheduleEvent(2*tickInterval, func() {
 			if req.backend.firstEvidenceAt == farFuture {
 				req.backend.firstEvidenceAt = sim.now
 			}
@@ -502,7 +502,7 @@
 				}
 			}
 		}
-		minimum := node.state.Settings().requiredInService(ready)
+		minimum := node.state.Settings().minBackendsInService(ready)
 		if open < minimum {
 			panic(fmt.Sprintf("too few backends open to patient requests: node=%d open=%d ready=%d minimum=%d", node.slot, open, ready, minimum))
 		}
@@ -552,8 +552,8 @@
 	if sim.rng.Intn(2) == 0 {
 		sim.resetConnections(func(req *simRequest) bool { return req.backend == b })
 	}
-	sim.schedule(3*time.Second, func() { sim.setPhase(b, Gone) })
-	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneIndexOf(b)) })
+	sim.scheduleEvent(3*time.Second, func() { sim.setPhase(b, Gone) })
+	sim.scheduleEvent(5*time.Second, func() { sim.startBackend(b.service, zoneIndexOf(b)) })
 }
 
 // setPhase changes the phase of a backend and updates the registry.
@@ -578,12 +578,12 @@
 		sim.partitions = append(sim.partitions, p)
 		// If the partition separates the coordinator's node, another coordinator starts on the other side of the partition.
 		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode {
-			sim.schedule(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
+			sim.scheduleEvent(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
 	for at := interval; at < farFuture/20; at += time.Duration((0.5 + sim.rng.Float64()) * float64(interval)) {
 		disturbance := sim.rng.Intn(7)
-		sim.schedule(at, func() {
+		sim.scheduleEvent(at, func() {
 			switch disturbance {
 			case 0:
 				sim.crashBackend(randomBackend())
@@ -602,11 +602,11 @@
 				b, slowdown := randomBackend(), []float64{3, 10, 100}[sim.rng.Intn(3)]
 				b.faultStart, b.faultEnd = sim.now, sim.now+10*time.Second
 				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
-				sim.schedule(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
+				sim.scheduleEvent(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
 			case 6: // A backend is replaced by a new instance.
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
-					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
+					sim.scheduleEvent(2*time.Second, func() { sim.setPhase(b, Gone) })
 					sim.startBackend(b.service, zoneIndexOf(b))
 				}
 			}
@@ -633,8 +633,8 @@
 	}
 }
 
-// runSeeds runs simulations with the seeds from 0 to count-1, three at a time. It passes each finished simulation to collect, one at a time.
-func runSeeds(count int, simulate func(seed int64) *simulation, collect func(sim *simulation)) {
+// runSimulations runs simulations with the seeds from 0 to count-1, three at a time. It passes each finished simulation to collect, one at a time.
+func runSimulations(count int, simulate func(seed int64) *simulation, collect func(sim *simulation)) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	next := make(chan int64)
@@ -675,10 +675,10 @@
 		seeds int
 	}{{12, smallSiteServices, seedCount(24)}, {96, largeSiteServices, seedCount(6)}} {
 		wrongEjections, ejections, worstShare, simulated, closedLocally, reports := 0, 0, 0.0, time.Duration(0), time.Duration(0), 0
-		runSeeds(tc.seeds, func(seed int64) *simulation {
+		runSimulations(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			sim.scheduleDisturbances(5 * time.Second)
-			sim.run(60 * time.Second)
+			sim.runFor(60 * time.Second)
 			sim.checkConvergence()
 			return sim
 		}, func(sim *simulation) {
@@ -735,7 +735,7 @@
 		seeds     int
 	}{{96, largeSiteServices, false, seedCount(1)}, {12, smallSiteServices, false, seedCount(6)}, {12, smallSiteServices, true, seedCount(6)}} {
 		maxEjected, ejections, closedTime, simulated, sharedEjections := 0, 0, time.Duration(0), time.Duration(0), 0
-		runSeeds(tc.seeds, func(seed int64) *simulation {
+		runSimulations(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			if tc.disturbed {
 				sim.scheduleDisturbances(5 * time.Second)
@@ -744,7 +744,7 @@
 			lyingNode := sim.nodes[1]
 			lyingNode.forgeReport = sim.forgedReport
 			for sim.now < 90*time.Second {
-				sim.step()
+				sim.advanceOneTick()
 				soleEjections, byService := 0, map[string]int{}
 				for _, ejection := range sim.state.Ejections() {
 					if ejection.Step != InService && ejection.SoleWitness == lyingNode.slot {
@@ -820,11 +820,11 @@
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
 		runs := max(1, seedCount(36/tc.nodes))
-		runSeeds(runs, func(seed int64) *simulation {
+		runSimulations(runs, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			sim.baseErrorRate = 0.004
 			sim.injectFault(tc.service, tc.backendShare, tc.mode, tc.kind, tc.requestShare, tc.caller)
-			sim.run(45 * time.Second)
+			sim.runFor(45 * time.Second)
 			return sim
 		}, func(sim *simulation) {
 			detection, propagation = append(detection, sim.detectionTimes...), append(propagation, sim.propagationTimes...)
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -109,7 +109,7 @@
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
-		s.eject(e)
+		s.applyEject(e)
 		step = Ejected
 	default:
 		ejection := s.Ejection(e.Key)
@@ -129,8 +129,8 @@
 	return routing.Accepted, nil
 }
 
-// eject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
-func (s *State) eject(e *Entry) {
+// applyEject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
+func (s *State) applyEject(e *Entry) {
 	sole, _ := s.soleWitness(e)
 	i, exists := s.findEjection(e.Key)
 	if !exists {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -31,7 +31,7 @@
 		f := newFleet(t, 5, 3)
 		b := newBackend(1)
 		f.sendHeartbeat(b, 1)
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		for _, isolated := range []Slot{receiver, 0} { // the node that receives the drain call, and node 0, which is the upstream of node 3
 			for _, o := range []Slot{1, 2} {
 				f.partitionNodes(isolated, o)
@@ -57,19 +57,19 @@
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
 	f.sendHeartbeat(b, 0)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.partitionNodes(0, 2)
 	f.updateNodes()
 	f.partitionNodes(0, 1) // No node notices this partition.
 	_, answered := f.sendDrainCall(b, 0)
 	must.False(t, answered)
-	f.advance(minCopiesTimeout)
+	f.advanceClock(minCopiesTimeout)
 	for ticket, a := range f.acks[0] {
 		must.True(t, !a.Confirmed || ticket < f.registries[0].lastTicket)
 	}
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{1, 0})
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	a, answered := f.sendDrainCall(b, 0)
 	must.True(t, answered && a.Confirmed)
 }
@@ -83,7 +83,7 @@
 		b := newBackend(1)
 		f.sendHeartbeat(b, 0)
 		f.sendHeartbeat(b, b.target)
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		departing := b.Record
 		departing.Seq, departing.Phase, departing.Draining, departing.Owner, departing.LostOwner = b.Seq+1, Draining, true, NoSlot, NoSlot
 		f.registries[registrar].Receive(5, Message{Heartbeats: []Record{departing}})
@@ -113,7 +113,7 @@
 	t.Helper()
 	f := newFleet(t, 6, 3)
 	f.sendHeartbeat(b, 2)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.partitionNodes(0, 1)
 	if receiver == 5 { // Node 5 follows node 0 and also reaches node 2.
 		f.partitionNodes(5, 1)
@@ -123,13 +123,13 @@
 	}
 	f.sendDrainCall(b, receiver)
 	if !noticed {
-		f.advance(600 * ms)
+		f.advanceClock(600 * ms)
 		f.updateNodes()
 	}
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
-	f.advance(5 * heartbeatInterval / 2)
+	f.advanceClock(5 * heartbeatInterval / 2)
 	must.LessEq(t, before+60, f.messages,
 		must.Sprint("more than 60 messages were sent after all nodes had the departure; the drain call was sent to node ", receiver))
 }
@@ -141,7 +141,7 @@
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
 	f.sendHeartbeat(b, 1)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
 	f.partitionNodes(3, 0)
 	for o := range Slot(2) {
@@ -150,11 +150,11 @@
 	f.updateNodes()
 	f.sendDrainCall(b, 1)
 	f.registries[1].Deregister(b.ID)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	must.Eq(t, Ready, f.views[3][b.ID].Phase)
 	f.partitioned = map[[2]Slot]bool{}
 	f.partitionNodes(3, 0)
 	f.updateNodes()
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	must.Eq(t, Gone, f.views[3][b.ID].Phase)
 }
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -58,7 +58,7 @@
 func (r *Registry) relayHeartbeat(e *entry, s Slot) {
 	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
 		r.addActivePeer(p)
-		p.heartbeats = append(p.heartbeats, r.recordOf(e))
+		p.heartbeats = append(p.heartbeats, r.currentRecord(e))
 	}
 }
 
@@ -121,7 +121,7 @@
 	departs := false
 	for _, id := range f.ids {
 		if e := r.entries[id]; e != nil {
-			m.Updates = append(m.Updates, r.recordOf(e))
+			m.Updates = append(m.Updates, r.currentRecord(e))
 			departs = departs || e.departureState() > notDeparting
 		}
 	}
@@ -130,7 +130,7 @@
 	}
 	for _, id := range f.suspicions {
 		if e := r.entries[id]; e != nil {
-			m.Suspicions = append(m.Suspicions, r.recordOf(e))
+			m.Suspicions = append(m.Suspicions, r.currentRecord(e))
 		}
 	}
 }
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -21,7 +21,7 @@
 	never = time.Duration(1<<63 - 1)
 )
 
-// entry is the state of one backend. The fields Phase, SlowStartLeft and Age of its record are unused. recordOf computes
+// entry is the state of one backend. The fields Phase, SlowStartLeft and Age of its record are unused. currentRecord computes
 // them.
 type entry struct {
 	record Record
@@ -92,8 +92,8 @@
 // compareID compares the backend id of an entry with id. The result is -1, 0 or 1, as that of strings.Compare.
 func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
-// recordOf returns the record of an entry with the Phase, SlowStartLeft and Age at the registry's present time.
-func (r *Registry) recordOf(e *entry) Record {
+// currentRecord returns the record of an entry with the Phase, SlowStartLeft and Age at the registry's present time.
+func (r *Registry) currentRecord(e *entry) Record {
 	record := e.record
 	record.Phase = e.phase()
 	record.SlowStartLeft = max(0, e.slowStartUntil-r.now)
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -36,7 +36,7 @@
 	e.record.Deregistered = e.record.Deregistered || update.Deregistered
 	e.firstSeenAt = min(e.firstSeenAt, r.now-update.Age)
 	r.setTimedOut(e, before, timedOut)
-	r.enqueueAddrChanges(e)
+	r.enqueueChangesAtAddr(e)
 	return before == Gone && e.phase() != Gone
 }
 
@@ -81,5 +81,5 @@
 // publication.
 func (r *Registry) timeOutBackend(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
-	r.enqueueAddrChanges(e)
+	r.enqueueChangesAtAddr(e)
 }
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -41,7 +41,7 @@
 			}
 			undelivered = append(undelivered, departures...)
 		}
-		r.updateNodeCounts(n)
+		r.addNodeToCounts(n)
 	}
 	r.preferDiskOwners()
 	r.dropPeersExcept(knownSlots)
@@ -74,9 +74,9 @@
 	return needsSync, undelivered
 }
 
-// updateNodeCounts updates hasKnownDisk, hasLiveDisk and the owner candidates with a known node. Only a live node with a
+// addNodeToCounts updates hasKnownDisk, hasLiveDisk and the owner candidates with a known node. Only a live node with a
 // control address becomes an owner candidate.
-func (r *Registry) updateNodeCounts(n Node) {
+func (r *Registry) addNodeToCounts(n Node) {
 	r.hasKnownDisk = r.hasKnownDisk || n.HasDisk
 	if !n.Live {
 		return
--- a/internal/gateway/registry/ownership.go
+++ b/internal/gateway/registry/ownership.go
@@ -96,7 +96,7 @@
 	r.setOwner(e, r.localSlot, lostOwner)
 	e.record.FencingToken++
 	e.timedOut = false
-	r.enqueueAddrChanges(e)
+	r.enqueueChangesAtAddr(e)
 }
 
 // scanBackends checks all backends. It times out backends that this node owns, takes over backends whose owner is lost, resends
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// enqueueAddrChanges queues an entry, and all entries with the same address, for comparison with their last published
+// enqueueChangesAtAddr queues an entry, and all entries with the same address, for comparison with their last published
 // state.
-func (r *Registry) enqueueAddrChanges(e *entry) {
+func (r *Registry) enqueueChangesAtAddr(e *entry) {
 	r.enqueueChange(e)
 	for _, other := range r.byAddr[e.record.Addr] {
 		r.enqueueChange(other)
@@ -73,7 +73,7 @@
 // publishIfChanged returns a Changed action and true if the backend differs from its last published state, and stores the
 // new state as published. Otherwise it returns false.
 func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
-	record := r.recordOf(e)
+	record := r.currentRecord(e)
 	record.Phase = r.visiblePhase(e)
 	unchanged := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
 		record.Generation == e.published.Generation && record.Capacity == e.published.Capacity && record.Phase == e.published.Phase &&
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -128,7 +128,7 @@
 // correctSender sends the record of a backend to the sender of an outdated update. If the update is an outdated time-out,
 // which other nodes may also have applied, correctSender broadcasts the record.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
-	known := r.recordOf(e)
+	known := r.currentRecord(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
 		// Other nodes may also have applied the time-out.
 		r.broadcastRecord(e, true)
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// advance moves the clock forward by d, in steps of at most 100 ms, and delivers all messages after each step.
-func (f *fleet) advance(d time.Duration) {
+// advanceClock moves the clock forward by d, in steps of at most 100 ms, and delivers all messages after each step.
+func (f *fleet) advanceClock(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += min(100*ms, end-f.now)
 		for s, registry := range f.registries {
@@ -154,7 +154,7 @@
 func knownRecords(registry *Registry) map[string]Record {
 	records := map[string]Record{}
 	for id, e := range registry.entries {
-		record := registry.recordOf(e)
+		record := registry.currentRecord(e)
 		record.SlowStartLeft, record.LostOwner, record.Seq = 0, NoSlot, 0 // Seq differs because heartbeats are not sent to all nodes.
 		records[id] = record
 	}
@@ -260,7 +260,7 @@
 			}
 			f.partitioned = map[[2]Slot]bool{}
 			f.updateNodes()
-			f.advance(time.Second)
+			f.advanceClock(time.Second)
 			f.requirePhase("i-1", Draining)
 			must.Eq(t, knownRecords(f.registries[0])["i-1"], knownRecords(f.registries[1])["i-1"], must.Sprint(partitioned, order))
 		})
@@ -277,7 +277,7 @@
 		backends = append(backends, newBackend(i))
 		must.True(t, f.sendHeartbeat(backends[i], 0).Confirmed)
 	}
-	f.advance(200 * ms)
+	f.advanceClock(200 * ms)
 	for _, b := range backends {
 		f.requirePhase(b.ID, Ready)
 		must.Eq(t, b.target, f.registries[0].entries[b.ID].record.Owner)
@@ -288,22 +288,22 @@
 		f.sendHeartbeat(b, b.target)
 	}
 	must.MapLen(t, 4, ownedByNode)
-	f.advance(200 * ms)
+	f.advanceClock(200 * ms)
 	f.messages = 0
 	for range 8 {
 		for _, b := range backends {
 			must.True(t, f.sendHeartbeat(b, b.target).Confirmed)
 		}
-		f.advance(heartbeatInterval)
+		f.advanceClock(heartbeatInterval)
 	}
 	must.Eq(t, 0, f.messages)
 	// Without heartbeats, all backends are gone at all nodes. A new heartbeat revives a backend.
-	f.advance(4 * heartbeatInterval)
+	f.advanceClock(4 * heartbeatInterval)
 	for _, b := range backends {
 		f.requirePhase(b.ID, Gone)
 	}
 	f.sendHeartbeat(backends[3], 2)
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	f.requirePhase(backends[3].ID, Ready)
 }
 
@@ -313,7 +313,7 @@
 	f := newFleet(t, 4, 2)
 	b := newBackend(1)
 	f.sendHeartbeat(b, 0)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	b.Phase = Draining
 	must.True(t, f.sendHeartbeat(b, 0).Confirmed)
 	f.requirePhase(b.ID, Draining)
@@ -327,25 +327,25 @@
 	b.Phase = Draining
 	must.False(t, f.sendHeartbeat(b, 0).Confirmed)
 	ticket := f.registries[0].lastTicket
-	f.advance(400 * ms)
+	f.advanceClock(400 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	must.True(t, f.acks[0][ticket].Confirmed)
 
 	// Copies at nodes without a disk are not sufficient.
 	dropMessagesTo(1)
 	ticket = f.registries[0].Deregister(b.ID)
 	f.deliverAll()
-	f.advance(700 * ms)
+	f.advanceClock(700 * ms)
 	must.MapNotContainsKey(t, f.acks[0], ticket)
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	must.MapContainsKey(t, f.acks[0], ticket)
 	must.False(t, f.acks[0][ticket].Confirmed)
 
 	// Nodes 1 and 3 receive messages again. The message with the departure is resent and acknowledged before the next call.
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{0, 3})
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.requirePhase(b.ID, Gone)
 	ticket = f.registries[0].Deregister(b.ID)
 	f.deliverAll()
@@ -376,7 +376,7 @@
 		f.sendHeartbeat(backends[i], 0)
 		f.sendHeartbeat(backends[i], backends[i].target)
 	}
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	lostOwner := backends[0].target
 	var orphans, stopped []*backend
 	for _, b := range backends {
@@ -414,7 +414,7 @@
 				f.requirePhase(b.ID, Ready)
 			}
 		}
-		f.advance(heartbeatInterval)
+		f.advanceClock(heartbeatInterval)
 	}
 	f.requirePhase(stopped[0].ID, Gone) // This backend stopped together with its owner.
 	for _, b := range orphans {
@@ -424,7 +424,7 @@
 	// The owner restarts with an empty registry. The other nodes must send the owner all records, including departures.
 	f.startNode(lostOwner)
 	f.updateNodes()
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	must.Eq(t, knownRecords(f.registries[next]), knownRecords(f.registries[lostOwner]))
 	must.Eq(t, 29, len(f.registries[lostOwner].Backends()))
 }
@@ -438,7 +438,7 @@
 		backends = append(backends, newBackend(i))
 		f.sendHeartbeat(backends[i], 1)
 	}
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	for o := range Slot(4) {
 		f.partitioned[[2]Slot{0, o + 1}], f.partitioned[[2]Slot{o + 1, 0}] = true, true
 	}
@@ -452,12 +452,12 @@
 			}
 			f.sendHeartbeat(b, at)
 		}
-		f.advance(heartbeatInterval)
+		f.advanceClock(heartbeatInterval)
 	}
 	must.SliceLen(t, 20, f.registries[0].Backends())
 	f.partitioned = map[[2]Slot]bool{}
 	f.updateNodes()
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	for _, b := range backends {
 		f.requirePhase(b.ID, Ready)
 	}
@@ -494,18 +494,18 @@
 	f := newFleet(t, 3, 0)
 	old := newBackend(1)
 	f.sendHeartbeat(old, 0)
-	f.advance(2 * time.Second)
+	f.advanceClock(2 * time.Second)
 	young := newBackend(2)
 	young.Addr, young.Service = old.Addr, "other"
 	f.sendHeartbeat(young, 1)
-	f.advance(600 * ms)
+	f.advanceClock(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	must.SliceLen(t, 1, f.registries[2].Backends())
 	// A late call of the old backend must have no lasting effect. The departure of the young backend must not revive the old backend.
 	old.Seq += 5
 	f.sendHeartbeat(old, 2)
-	f.advance(600 * ms)
+	f.advanceClock(600 * ms)
 	f.requirePhase(old.ID, Gone)
 	f.requirePhase(young.ID, Ready)
 	f.registries[0].Deregister(young.ID)
@@ -525,14 +525,14 @@
 	b.Seq = 7
 	f.sendHeartbeat(b, 0)
 	f.requirePhase(b.ID, Gone)
-	f.advance(tombstoneTTL + time.Second)
+	f.advanceClock(tombstoneTTL + time.Second)
 	must.Eq(t, Status{}, f.registries[0].Status())
 	must.MapEmpty(t, f.registries[0].entries)
 	must.MapEmpty(t, f.registries[0].byAddr)
 	for i := range maxTombstones + 100 {
 		f.registries[0].Deregister(fmt.Sprint(i))
 	}
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	must.Eq(t, maxTombstones, len(f.registries[0].entries))
 }
 
@@ -588,7 +588,7 @@
 					f.updateNodes()
 				}
 				sendHeartbeats()
-				f.advance(time.Duration(rng.Intn(1000)) * ms)
+				f.advanceClock(time.Duration(rng.Intn(1000)) * ms)
 			}
 		}
 		f.partitioned = map[[2]Slot]bool{}
@@ -603,7 +603,7 @@
 				f.messages = 0
 			}
 			sendHeartbeats()
-			f.advance(heartbeatInterval)
+			f.advanceClock(heartbeatInterval)
 		}
 		for _, b := range backends {
 			want := b.Phase
@@ -627,7 +627,7 @@
 		for i := range 60 {
 			f.sendHeartbeat(newBackend(i), Slot(i%n))
 		}
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		for s := range Slot(n) {
 			must.Len(t, 60, f.registries[s].Backends())
 		}
@@ -639,14 +639,14 @@
 		}
 		// Each node receives an update and acknowledges it.
 		must.LessEq(t, 60*(2*n+20), f.messages, must.Sprint(n, " nodes must not send more than 60*(2*nodes+20) messages for 60 departures"))
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		f.messages = 0
 		f.startNode(Slot(n - 1))
 		for s := range Slot(n - 1) {
 			f.registries[s].SyncPeer(Slot(n - 1))
 		}
 		f.updateNodes()
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		must.LessEq(t, 12, f.messages)
 		must.Len(t, 60, f.registries[Slot(n-1)].Backends())
 	}
@@ -663,7 +663,7 @@
 		f.sendHeartbeat(b, 0)
 		f.sendHeartbeat(b, b.target)
 	}
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	stored := f.registries[0].Backends()
 	must.Len(t, 2, stored)
 	for s := range Slot(3) {
@@ -671,12 +671,12 @@
 	}
 	f.registries[0].Restore(stored)
 	f.updateNodes()
-	f.advance(200 * ms)
+	f.advanceClock(200 * ms)
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Ready)
 	for range 6 {
 		f.sendHeartbeat(alive, alive.target)
-		f.advance(heartbeatInterval)
+		f.advanceClock(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Gone)
@@ -700,19 +700,19 @@
 		must.Eq(t, Slot(0), b.target) // Nodes with a disk own backends.
 		f.sendHeartbeat(b, 0)
 	}
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.startNode(0)
 	for s := range Slot(3) {
 		f.registries[s+1].SyncPeer(0)
 	}
 	f.updateNodes()
 	must.Len(t, 0, f.registries[0].Backends())
-	f.advance(fullSyncGrace + time.Second)
+	f.advanceClock(fullSyncGrace + time.Second)
 	must.Len(t, 2, f.registries[0].Backends())
 	must.Len(t, 2, f.registries[2].Backends())
 	for range 6 {
 		f.sendHeartbeat(alive, 0)
-		f.advance(heartbeatInterval)
+		f.advanceClock(heartbeatInterval)
 	}
 	f.requirePhase(alive.ID, Ready)
 	f.requirePhase(stopped.ID, Gone)
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -49,7 +49,7 @@
 	var records []Record
 	for _, e := range r.sorted {
 		if r.visiblePhase(e) != Gone {
-			records = append(records, r.recordOf(e))
+			records = append(records, r.currentRecord(e))
 		}
 	}
 	return records
