--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -24,7 +24,7 @@
 	now              time.Duration
 	startedAt        time.Duration
 	fencingToken     uint64
-	nodeCount        int
+	nodeCount        int // The number of live nodes, at least 1.
 	state            *State
 	backends         map[InstanceID]Backend
 	evidence         map[Key]*keyEvidence
@@ -36,6 +36,7 @@
 
 // keyEvidence holds the reports of all nodes on a key.
 type keyEvidence struct {
+	// The newest observation of each node that has reported on the key.
 	byWitness map[Slot]*receivedObservation
 	// True if the key must be evaluated at the next Tick.
 	changed     bool
@@ -47,18 +48,18 @@
 
 // confirmedLoss is a lost answer that was confirmed (keyEvidence.confirmsLoss), or a connection reset.
 type confirmedLoss struct {
-	revision   uint64
-	observedAt time.Duration
+	revision   uint64        // The revision of the key's ejection under which the loss was observed.
+	observedAt time.Duration // The time of the loss on the coordinator's clock.
 }
 
 // receivedObservation is a node's newest observation of a key.
 type receivedObservation struct {
 	Observation
-	zone        string
-	incarnation uint64
-	seq         uint64
-	selfDoubt   bool
-	receivedAt  time.Duration
+	zone        string        // The node's zone.
+	incarnation uint64        // Report.Incarnation
+	seq         uint64        // Report.Seq
+	selfDoubt   bool          // Report.SelfDoubt
+	receivedAt  time.Duration // The time when the coordinator received the report.
 }
 
 // NewCoordinator returns a Coordinator. The fencing token must be higher than that of every earlier coordinator.
--- a/internal/gateway/outlier/entry.go
+++ b/internal/gateway/outlier/entry.go
@@ -11,9 +11,9 @@
 const (
 	// Replaces the settings of this package.
 	SetSettings Verb = "set"
-	// Takes an instance out of service, also after an earlier ejection.
+	// Takes an instance out of service. The instance may have been ejected before.
 	Eject Verb = "convict"
-	// Advances the recovery by one step.
+	// Advances the recovery of an ejected instance by one step, but not to the step InService.
 	StepUp Verb = "parole"
 	// Takes the last recovery step, which puts the instance back into service.
 	Readmit Verb = "acquit"
@@ -27,14 +27,15 @@
 // Of two concurrent entries only one is therefore accepted, and a delayed entry cannot change a newer revision.
 type Entry struct {
 	Verb Verb
-	// The ID of an operator's call, for deduplication. A repeated call returns routing.Duplicate. Empty: no deduplication.
+	// The ID of an operator's call. An entry whose CallID was applied before is not applied again (routing.Duplicate). Empty: no such check.
 	CallID string
 	// The operator that made the entry, or coordinatorName. It is shown in the history.
 	Author string
 	// The time in milliseconds since 1970, used in the history only.
 	UnixMilli int64
 	Reason    string
-	// The revision of the key's ejection when the entry was made. 0 if there was no ejection. For SetSettings the revision of the settings.
+	// The revision of the key's ejection when the entry was made. 0 if there was no ejection. SetSettings: the revision of the settings when the
+	// entry was made. Forget: unused.
 	Revision uint64
 	// The fencing token of the coordinator, at least 1. It is 0 for an operator's entry.
 	FencingToken uint64
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -56,7 +56,7 @@
 // the answers of half of the nodes suffice.
 const halfQuorumDelay = 500 * time.Millisecond
 
-// assessment combines the reports on a key that belong to the current revision of its ejection.
+// assessment combines the nodes' reports on a key. It contains only observations under the current revision of the key's ejection.
 type assessment struct {
 	key      Key
 	evidence *keyEvidence
@@ -157,9 +157,9 @@
 	}
 }
 
-// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. losses are the nodes that observed a lost answer. If
-// lossesUsable is true, these nodes are added to the witnesses of the ejection. The function returns false if there is no conclusive evidence
-// or if the state would not accept the entry.
+// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. losses are the nodes with a lost answer or a connection reset
+// (lossWitnesses). If lossesUsable is true, these nodes are added to the witnesses of the ejection. The function returns false if there is no
+// conclusive evidence or if the state would not accept the entry.
 func (c *Coordinator) ejectOnConclusiveEvidence(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
@@ -211,7 +211,7 @@
 	return !zoneHasTraffic
 }
 
-// confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not merely late. The backend must have given
+// confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not late. The backend must have given
 // at least minConfirmingAnswers clean answers in the second half of the attempt's time-out. These answers must have been fast, and they must not
 // all have arrived at the same node. If there is only one node, the answers to this node suffice. timedOutAt is the time when the attempt timed
 // out, and nodeCount is the number of live nodes.
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -76,7 +76,7 @@
 
 // EvidenceKind returns the kind of evidence that follows from the end of an attempt. The reset of a fresh connection before any part of an answer is
 // NoEvidence, because a backend resets fresh connections when it has too many connections. A time-out after a part of the answer is NoEvidence,
-// because the answer is merely slow.
+// because the answer is slow and not lost.
 func (a AttemptEnd) EvidenceKind() EvidenceKind {
 	switch {
 	case a.NodeStalled:
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -21,7 +21,7 @@
 	delayedCount int
 	// The end of the local ejection. 0 if there is none.
 	ejectedUntil time.Duration
-	// The number of local ejections so far.
+	// The number of local ejections of the key so far. It is kept when the revision changes.
 	localEjections int
 	// The access that was last pushed to the host.
 	access Access
@@ -46,8 +46,8 @@
 type delayedEvidence struct {
 	evidenceItem
 	state    *keyState
-	revision uint64
-	sentAt   time.Duration
+	revision uint64        // The revision of the key's ejection when the attempt was sent.
+	sentAt   time.Duration // The time when the attempt was sent.
 }
 
 // observedReset records that a backend reset a connection.
@@ -56,8 +56,8 @@
 	observedAt time.Duration
 }
 
-// resetKey discards the observations of a key and sets its revision. Observations under another revision do not count. The number of local
-// ejections and the access are kept.
+// resetKey discards this node's observations of a key and sets the revision of the key's state. The number of local ejections and the access are
+// kept. The observations are discarded because the coordinator ignores observations under an earlier revision.
 func (n *Node) resetKey(state *keyState, rev uint64) {
 	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections,
 		access: state.access, local: state.local}
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -295,7 +295,7 @@
 }
 
 // Guards against an ejection because of a faulty link or a single node. The partial evidence of nodes of another zone must not eject a backend
-// while the nodes of the backend's zone get answers. Conclusive evidence must eject a backend also if no node of the backend's zone has evidence.
+// while the nodes of the backend's zone get answers. Conclusive evidence of a node of another zone must eject the backend.
 // A failure rate must lead to an ejection only if the rate remains too high when the observations of any one node are left out.
 func TestSingleZoneOrSingleNodeEvidence(t *testing.T) {
 	t.Parallel()
@@ -328,10 +328,10 @@
 		r.Observations[0].ServiceWindow = Window{Clean: clean + 50, Failing: failing}
 		return r
 	}
-	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // Two nodes of zone b see resets, and the nodes of zone a get answers.
+	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // Two nodes of zone b observe resets. The nodes of zone a, which is the backend's zone, get answers.
 		return []Report{report(seq, "b", 0, 0, ConnectionReset), report(seq, "b", 0, 0, ConnectionReset), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	must.Positive(t, countEjections(func(seq uint64) []Report { // A node of zone a sees a reset as well.
+	must.Positive(t, countEjections(func(seq uint64) []Report { // A node of zone a and a node of zone b observe resets.
 		return []Report{report(seq, "b", 0, 0, ConnectionReset), report(seq, "a", 9, 0, ConnectionReset), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
 	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // No node got an answer during the attempts.
@@ -485,9 +485,9 @@
 	must.Nil(t, s.Ejection(Key{"i-0018", Strict}))
 }
 
-// Guards against a service that keeps fewer backends open to patient requests than Settings.minBackendsInService. When all backends are ejected, no
-// backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must stay open to
-// patient requests. A node that sees all backends fail must doubt its own observations and locally eject only half of the backends.
+// Guards against a service that keeps fewer backends open to patient requests than Settings.minBackendsInService returns. When all backends are
+// ejected, no backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must
+// stay open to patient requests. A node at which all backends fail must doubt its own observations and locally eject only half of the backends.
 func TestMinimumInService(t *testing.T) {
 	s := enabledState()
 	node := NewNode("a", 1, 0)
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -11,7 +11,8 @@
 const (
 	// The upper limit of minEjectionDuration.
 	maxEjectionTime = 10 * time.Minute
-	// The number of consecutive clean probes that end the step Ejected. The minimum duration of the ejection must have passed as well.
+	// The number of consecutive clean probes that end the step Ejected, if minEjectionDuration has passed. A clean probe is a probe that the
+	// probed instance answered as healthy.
 	readmitProbes = 3
 	// The number of clean answers that end the step ReadsOnly.
 	readmitReads = 20
@@ -21,7 +22,7 @@
 	maxWriteDoublings = 4
 	// The clean answers must come from at least this number of nodes, or from all nodes if there are fewer.
 	readmitNodes = 4
-	// Each failure raises the required number of clean answers by this number.
+	// Each failure raises the required number of clean answers by this number. This applies to the last step before InService.
 	failurePenalty = 10
 	// When a coordinator has run for longer than this time, it removes the ejections of instances that are not in the registry.
 	unknownTTL = 60 * time.Second
@@ -101,8 +102,8 @@
 	return sum
 }
 
-// proposeForgetEntry proposes to remove the ejections of instances that are gone. When the coordinator has run for longer than unknownTTL, the
-// ejections of instances that are not in the registry are removed as well.
+// proposeForgetEntry proposes a Forget entry, which removes the ejections of instances that are gone. When the coordinator has run for longer
+// than unknownTTL, the entry also removes the ejections of instances that are not in the registry.
 func (c *Coordinator) proposeForgetEntry() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -93,12 +93,12 @@
 	state           *State
 	events          map[time.Duration][]func()
 	partitions      []partition
-	baseErrorRate   float64 // The fraction of requests that any backend answers with a 5xx, also without a fault.
+	baseErrorRate   float64 // The fraction of the requests without a fault that a backend answers with a 5xx.
 	startedBackends int
 
 	faultCounts                      map[EvidenceKind]int // The number of requests with a fault, by kind.
 	ejections, wrongEjections        int
-	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
+	detectionTimes, propagationTimes []time.Duration // From the first evidence to the Eject entry, and from the entry to each connected node.
 	reportsSent                      int
 	// The largest number of a service's ready backends that were not open to a node's patient requests. The value is a fraction of the allowed
 	// number, which is the number of ready backends minus Settings.minBackendsInService. It is logged as max_closed_fraction.
@@ -326,7 +326,7 @@
 		case Probe:
 			for _, b := range sim.backends {
 				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)) == 0 {
-					sim.scheduleEvent(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
+					sim.scheduleEvent(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // A faulty backend also answers all probes as healthy.
 				}
 			}
 		}
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -25,7 +25,7 @@
 	maxRepeats = 16
 	// The maximum number of witnesses in an Eject entry.
 	maxNamedWitnesses = 8
-	// The number of revisions of the state after which only half of a witness's refutations still count. Each entry raises the revision by one. About
+	// After this number of revisions of the state, only half of a witness's refutations count. Each entry raises the revision by one. About
 	// five ejections with their recoveries take this number of entries.
 	refutationHalvingPeriod = 24
 )
--- a/internal/gateway/outlier/zonepath.go
+++ b/internal/gateway/outlier/zonepath.go
@@ -44,8 +44,9 @@
 	z.lastAnswerAt = now
 }
 
-// wasIntact reports whether the zone's answers arrived without a gap above gapTolerance between the times from and now. It returns false if the
-// answers are so rare that a partition for half of that time would not show as a long gap. It also returns false for a nil zonePath.
+// wasIntact reports whether the zone's answers arrived without a gap above gapTolerance between the times from and now. If the answers are so
+// rare that a partition for half of the time between from and now would not cause a gap above gapTolerance, the result is false. For a nil
+// zonePath the result is false.
 func (z *zonePath) wasIntact(from, now time.Duration) bool {
 	return z != nil && z.steadySince <= from && z.lastAnswerAt > from && now-z.lastAnswerAt <= z.gapTolerance() && z.gapTolerance() <= max((now-from)/2, minGap)
 }
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// batchDelay is how long a non-urgent change is delayed so that several changes fit into one message.
+	// batchDelay is how long a change that is not urgent is delayed, so that one message can carry several changes.
 	batchDelay = 50 * time.Millisecond
 	// maxUpdatesPerMessage limits the records in one message to a few KB, so that a message does not block other frames on a
 	// slow link for long.
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -29,18 +29,19 @@
 	timedOut       bool
 	goneAt         time.Duration // time at which the phase last became Gone
 	firstSeenAt    time.Duration // time at which any node first saw the backend
-	slowStartUntil time.Duration
+	slowStartUntil time.Duration // end of the backend's slow start, 0 if no slow start was reported
 	// Time of the last heartbeat that this node knows of, or of the last change of owner if that is later.
 	lastSeenAt time.Duration
 	// Time at which this node learned of the owner. The time is set again when the owner is sent a suspicion, or when the
-	// node that should become the owner is sent the record. The next such message is sent an interval later.
+	// node that should become the owner is sent the record. This delays the next message of this kind.
 	ownerSince time.Duration
 	syncedAt   time.Duration // time of the last update of the backend from Registry.syncSource
 	// Time of the last heartbeat that this node received, from the backend or relayed.
 	lastHeartbeatAt time.Duration
 	// True if the newest known heartbeat came from the backend itself.
 	directHeartbeat bool
-	// Time before which this node does not take over the backend, because another node still reaches its owner.
+	// Time before which this node does not take over the backend. setOwner sets this time when another node has taken the
+	// backend over from this node and this node does not reach the new owner.
 	noTakeoverUntil time.Duration
 	// True if this node timed out the backend by a suspicion that the owner has not confirmed yet.
 	suspected bool
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -8,8 +8,8 @@
 const (
 	// maxFullSyncs limits the number of followers that are synced at the same time.
 	maxFullSyncs = 16
-	// departureRetention is the time after the end of a backend during which its departure is still sent to a new follower.
-	// The follower may have been isolated and may still send requests to the backend.
+	// departureRetention is the time after the end of a backend during which the backend's departure is sent to each new
+	// follower. The follower may have been isolated, and may continue to send requests to the backend.
 	departureRetention = 10 * time.Second
 	// fullSyncGrace is the time since the last update of a full sync after which the receiver treats the full sync as ended.
 	fullSyncGrace = 3 * time.Second
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -71,7 +71,7 @@
 }
 
 // publishIfChanged returns a Changed action and true if the backend differs from its last published state, and stores the
-// new state as published. Otherwise it returns false.
+// new state as published. If the backend does not differ, it returns false.
 func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
 	record := r.currentRecord(e)
 	record.Phase = r.visiblePhase(e)
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -57,8 +57,8 @@
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
-// handleUpdate merges a received record and forwards the record if it changed anything. If this node has newer information,
-// it sends its own record to the sender (correctSender).
+// handleUpdate merges the record of a backend that the peer p sent, and forwards the record if the merge changed the entry. If
+// this node knows newer values than the received record, it sends its own record to p (correctSender).
 func (r *Registry) handleUpdate(p *peer, update Record) {
 	e := r.findOrCreateEntry(update.ID)
 	if e == nil {
@@ -130,7 +130,7 @@
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
 	known := r.currentRecord(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
-		// Other nodes may also have applied the time-out.
+		// The time-out is outdated, and other nodes may have applied it.
 		r.broadcastRecord(e, true)
 		return
 	}
--- a/internal/gateway/registry/status.go
+++ b/internal/gateway/registry/status.go
@@ -7,7 +7,7 @@
 	Ready, Draining, Gone int // numbers of backends by visible phase
 	Owned                 int // number of backends that this node owns and that are not gone
 	OwnerLost             int // number of backends that are not gone and whose owner this node does not reach
-	PendingCalls          int // number of calls that wait for copies at other nodes
+	PendingCalls          int // number of calls that wait until other nodes have the departure
 	Unconfirmed           int // number of records to peers that are waiting to be sent or to be acknowledged
 	// Number of calls and updates of new backends that were rejected because the registry was full, since the start of the
 	// node.
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -3,8 +3,8 @@
 import "time"
 
 // This file defines the encoded forms of records and messages on links and on a node's disk. gob identifies fields by name,
-// and other program versions read these forms. The fields here must therefore never be renamed, also when the fields of
-// Record and Message are. gob ignores a received field that it does not know. A field that was not sent is zero.
+// and other program versions read these forms. The fields here must therefore never be renamed, even if the fields of Record
+// and Message are renamed. gob ignores a received field that it does not know. A field that was not sent is zero.
 
 // WireRecord is the form of a Record that gob sends and stores. If a field has another name in Record, a comment gives that
 // name.
