--- a/internal/gateway/registry/testingknobs_debug_test.go
+++ b/internal/gateway/registry/testingknobs_debug_test.go
@@ -7,6 +7,4 @@
 var safeguardDisabledCases = []bool{false, true}
 
 // knobsTrustingPeers returns testing knobs with the given value of TrustUnconfirmedPeers.
-func knobsTrustingPeers(trustUnconfirmed bool) TestingKnobs {
-	return TestingKnobs{TrustUnconfirmedPeers: trustUnconfirmed}
-}
+func knobsTrustingPeers(trust bool) TestingKnobs { return TestingKnobs{TrustUnconfirmedPeers: trust} }
