--- a/internal/gateway/outlier/backend.go
+++ b/internal/gateway/outlier/backend.go
@@ -31,11 +31,11 @@
 }
 
 // compare orders keys by ID, then by mode. It returns -1, 0 or 1.
-func (k Key) compare(o Key) int {
+func (k Key) compare(other Key) int {
 	switch {
-	case k.ID < o.ID || k.ID == o.ID && k.Mode < o.Mode:
+	case k.ID < other.ID || k.ID == other.ID && k.Mode < other.Mode:
 		return -1
-	case k == o:
+	case k == other:
 		return 0
 	}
 	return 1
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -69,7 +69,7 @@
 }
 
 // SetNodeCount sets the number of live nodes.
-func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = max(n, 1) }
+func (c *Coordinator) SetNodeCount(count int) { c.nodeCount = max(count, 1) }
 
 // ApplyState sets the state. e is the entry that was just applied, or nil if a snapshot was restored. The coordinator keeps a reference to the
 // state. The host must therefore call ApplyState immediately after each change of the state.
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -124,9 +124,9 @@
 
 // refutationCount returns the number of refutations that still count against a witness. The number halves every refutationHalvingPeriod
 // revisions of the state.
-func (s *State) refutationCount(w Slot) int {
+func (s *State) refutationCount(witness Slot) int {
 	for _, t := range s.snapshot.Trust {
-		if t.Witness == w {
+		if t.Witness == witness {
 			return t.Refuted >> min((s.Revision-t.Rev)/refutationHalvingPeriod, 62)
 		}
 	}
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -248,7 +248,7 @@
 	n.releaseDelayedEvidence()
 	keys := slices.SortedFunc(maps.Keys(n.active), Key.compare)
 	for _, k := range keys {
-		n.maintainKey(n.active[k])
+		n.updateActiveKey(n.active[k])
 	}
 	for _, svc := range n.services {
 		if svc.noneAvailableAt > 0 && n.now-svc.noneAvailableAt >= noneAvailableInterval {
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -227,9 +227,9 @@
 	return len(others)
 }
 
-// maintainKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
+// updateActiveKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
 // key from Node.active when no work is pending.
-func (n *Node) maintainKey(state *keyState) {
+func (n *Node) updateActiveKey(state *keyState) {
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
 		state.ejectedUntil = 0
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -297,7 +297,7 @@
 // Guards against an ejection because of a faulty link or a single node. The partial evidence of nodes of another zone must not eject a backend
 // while the nodes of the backend's zone get answers. Conclusive evidence of a node of another zone must eject the backend.
 // A failure rate must lead to an ejection only if the rate remains too high when the observations of any one node are left out.
-func TestSingleZoneOrSingleNodeEvidence(t *testing.T) {
+func TestEvidenceOfOneZoneOrNodeIsInsufficient(t *testing.T) {
 	t.Parallel()
 	// countEjections returns the number of proposed ejections. makeReports returns the reports of the nodes, by node, with the given sequence number.
 	countEjections := func(makeReports func(seq uint64) []Report) (ejections int) {
@@ -388,7 +388,7 @@
 }
 
 // Guards against a wrong result of AttemptEnd.EvidenceKind. Such a result would count against a backend that has no fault.
-func TestAttemptEndEvidence(t *testing.T) {
+func TestAttemptEndDeterminesEvidenceKind(t *testing.T) {
 	for want, ends := range map[EvidenceKind][]AttemptEnd{
 		CleanAnswer:     {{Ending: control.Succeeded}, {Ending: control.Succeeded, PartialAnswer: true}},
 		ServerError:     {{Ending: control.Errored}},
@@ -488,7 +488,7 @@
 // Guards against a service that keeps fewer backends open to patient requests than Settings.minBackendsInService returns. When all backends are
 // ejected, no backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must
 // stay open to patient requests. A node at which all backends fail must doubt its own observations and locally eject only half of the backends.
-func TestMinimumInService(t *testing.T) {
+func TestMinimumInServiceStaysOpen(t *testing.T) {
 	s := enabledState()
 	node := NewNode("a", 1, 0)
 	node.SetConnected(true)
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -74,12 +74,12 @@
 }
 
 // minBackendsInService returns how many of a service's ready backends must stay in service for patient requests.
-func (s *Settings) minBackendsInService(ready int) int {
-	return min(ready, max(s.MinInService, (ready*s.MinInServicePercent+99)/100))
+func (s *Settings) minBackendsInService(readyBackends int) int {
+	return min(readyBackends, max(s.MinInService, (readyBackends*s.MinInServicePercent+99)/100))
 }
 
 // soleWitnessLimits returns how many of a service's ready backends, and how many backends in total, may be ejected on the evidence of one
 // witness alone. Each refutation of the witness halves both limits.
-func (s *Settings) soleWitnessLimits(ready, refuted int) (ofService, ofAll int) {
-	return max(1, ready*s.SoleWitnessPercent/100) >> refuted, s.SoleWitnessMax >> refuted
+func (s *Settings) soleWitnessLimits(readyBackends, refutations int) (perService, total int) {
+	return max(1, readyBackends*s.SoleWitnessPercent/100) >> refutations, s.SoleWitnessMax >> refutations
 }
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -726,7 +726,7 @@
 
 // Guards against a node that ejects backends with false reports. At no time may the number of ejections on the evidence of this node alone exceed
 // Settings.soleWitnessLimits.
-func TestOneLyingNode(t *testing.T) {
+func TestLyingNodeStaysWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		nodes     int
@@ -791,7 +791,7 @@
 
 // Guards against slow detection of a faulty backend. The test measures the time from the first evidence to the ejection, and the time from the
 // ejection until the connected nodes apply the entry. Faults of one zone's links, and faults that all backends have equally, must eject no backend.
-func TestDetectionTime(t *testing.T) {
+func TestFaultyBackendsAreEjectedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name         string
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -82,12 +82,12 @@
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service, and no other
-// node had confirmed the evidence.
-func (s *State) recordRefutation(w Slot) {
-	n := s.refutationCount(w) + 1
-	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
-	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
+// recordRefutation records a refutation of a witness. A refutation means that a backend that was ejected on the evidence of this witness alone
+// came back into service, and that no other node had confirmed the evidence.
+func (s *State) recordRefutation(witness Slot) {
+	n := s.refutationCount(witness) + 1
+	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == witness })
+	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{witness, n, s.Revision}), maxTrust)
 }
 
 // Apply applies an entry if Decide accepts it. It returns the result and the error of Decide.
--- a/internal/gateway/outlier/window.go
+++ b/internal/gateway/outlier/window.go
@@ -29,15 +29,15 @@
 }
 
 // add adds the counts of another window.
-func (w *Window) add(o Window) {
-	w.Clean += o.Clean
-	w.Failing += o.Failing
-	w.LatencyMillis += o.LatencyMillis
+func (w *Window) add(other Window) {
+	w.Clean += other.Clean
+	w.Failing += other.Failing
+	w.LatencyMillis += other.LatencyMillis
 }
 
 // minus returns the difference of the counts of two windows. A negative difference is replaced by 0.
-func (w Window) minus(o Window) Window {
-	return Window{w.Clean - min(o.Clean, w.Clean), w.Failing - min(o.Failing, w.Failing), w.LatencyMillis - min(o.LatencyMillis, w.LatencyMillis)}
+func (w Window) minus(other Window) Window {
+	return Window{w.Clean - min(other.Clean, w.Clean), w.Failing - min(other.Failing, w.Failing), w.LatencyMillis - min(other.LatencyMillis, w.LatencyMillis)}
 }
 
 // attemptCount returns the number of clean answers and failures.
@@ -91,9 +91,9 @@
 }
 
 // add adds the counts of other totals.
-func (t *Totals) add(o Totals) {
-	t.Clean += o.Clean
-	t.Failing += o.Failing
-	t.Reads += o.Reads
-	t.Probes += o.Probes
+func (t *Totals) add(other Totals) {
+	t.Clean += other.Clean
+	t.Failing += other.Failing
+	t.Reads += other.Reads
+	t.Probes += other.Probes
 }
--- a/internal/gateway/registry/departure.go
+++ b/internal/gateway/registry/departure.go
@@ -165,12 +165,12 @@
 	return c
 }
 
-// recordNotified records that the node s has the departure d of the backend.
-func (e *entry) recordNotified(s Slot, d departureState) {
+// recordNotified records that a node has recorded the given departure state of the backend.
+func (e *entry) recordNotified(node Slot, state departureState) {
 	if e.notified == nil {
 		e.notified = map[Slot]departureState{}
 	}
-	e.notified[s] = max(e.notified[s], d)
+	e.notified[node] = max(e.notified[node], state)
 }
 
 // unconfirmedDepartures returns the ids of the backends whose departure is pending for a peer or in flight to it, and
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// relayHeartbeat enqueues the record of a backend as a heartbeat for the node s. A relayed heartbeat that gets lost is not
+// relayHeartbeat enqueues the record of a backend as a heartbeat for the node receiver. A relayed heartbeat that gets lost is not
 // resent, because the backend's next heartbeat replaces it.
-func (r *Registry) relayHeartbeat(e *entry, s Slot) {
-	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
+func (r *Registry) relayHeartbeat(e *entry, receiver Slot) {
+	if p := r.peers[receiver]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
 		r.addActivePeer(p)
 		p.heartbeats = append(p.heartbeats, r.currentRecord(e))
 	}
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -55,13 +55,13 @@
 }
 
 // isIncludedInPeerSync reports whether a backend is part of the sync of a peer that does not follow this node.
-func (r *Registry) isIncludedInPeerSync(e *entry, to Slot) bool {
+func (r *Registry) isIncludedInPeerSync(e *entry, receiver Slot) bool {
 	if r.hasLiveDisk && !r.local.HasDisk {
 		return e.phase() != Gone && e.departureState() > notDeparting
 	}
 	owner := e.record.Owner
-	return owner == r.localSlot || owner == to || e.departureState() > notDeparting ||
-		r.isUnreachable(owner) && r.ownerFor(e, to).Slot == r.localSlot
+	return owner == r.localSlot || owner == receiver || e.departureState() > notDeparting ||
+		r.isUnreachable(owner) && r.ownerFor(e, receiver).Slot == r.localSlot
 }
 
 // enqueueSync queues a follower for a sync of the backends of its zone, ahead of all full syncs, and for a full sync. If
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -124,12 +124,12 @@
 	r.answerDecidedCalls()
 }
 
-// isUnreachable reports whether s is another node that is unknown or not live.
-func (r *Registry) isUnreachable(s Slot) bool {
-	if s == r.localSlot {
+// isUnreachable reports whether the given node is another node that is unknown or not live.
+func (r *Registry) isUnreachable(node Slot) bool {
+	if node == r.localSlot {
 		return false
 	}
-	p := r.peers[s]
+	p := r.peers[node]
 	return p == nil || !p.node.Live
 }
 
--- a/internal/gateway/registry/registry_test.go
+++ b/internal/gateway/registry/registry_test.go
@@ -40,14 +40,14 @@
 }
 
 // startNode starts a node with an empty registry.
-func (f *fleet) startNode(s Slot) {
+func (f *fleet) startNode(slot Slot) {
 	minCopies := 2
 	// The loss of the only node with a disk is not tolerated.
 	if f.disks == 1 {
 		minCopies = 1
 	}
-	f.registries[s] = New(s, Config{HeartbeatInterval: heartbeatInterval, MinCopies: minCopies, Incarnation: uint32(f.now)}, f.now)
-	f.acks[s], f.views[s], f.live[s] = map[Ticket]Acknowledge{}, map[string]Record{}, true
+	f.registries[slot] = New(slot, Config{HeartbeatInterval: heartbeatInterval, MinCopies: minCopies, Incarnation: uint32(f.now)}, f.now)
+	f.acks[slot], f.views[slot], f.live[slot] = map[Ticket]Acknowledge{}, map[string]Record{}, true
 }
 
 // updateNodes calls SetNodes on each registry. Each node sees the nodes that it reaches as live. A node without a disk
@@ -753,13 +753,13 @@
 }
 
 // takeMessages returns the messages that a node sends, without delivering them.
-func (f *fleet) takeMessages(s Slot) (sent []Message) {
-	for a, ok := f.registries[s].Next(); ok; a, ok = f.registries[s].Next() {
+func (f *fleet) takeMessages(sender Slot) (sent []Message) {
+	for a, ok := f.registries[sender].Next(); ok; a, ok = f.registries[sender].Next() {
 		switch a := a.(type) {
 		case Send:
 			sent = append(sent, a.Message)
 		case Acknowledge:
-			f.acks[s][a.Ticket] = a
+			f.acks[sender][a.Ticket] = a
 		}
 	}
 	return sent
