--- a/internal/gateway/outlier/access.go
+++ b/internal/gateway/outlier/access.go
@@ -7,7 +7,7 @@
 	"clovergap/internal/invariant"
 )
 
-// queueAccessUpdate queues a service for the next updateAccess. It does nothing if the service is already queued.
+// queueAccessUpdate queues a service for the next call of updateAccess. A service that is already queued is not queued again.
 func (n *Node) queueAccessUpdate(svc *service) {
 	if !svc.changed {
 		svc.changed = true
@@ -28,13 +28,13 @@
 // ejectionAccess returns the access that a key's ejection allows. It is Open if the key has no ejection or if outlier detection is disabled.
 func (n *Node) ejectionAccess(k Key) Access {
 	if ejection := n.state.Ejection(k); ejection != nil && n.state.Enabled() {
-		return ejection.access()
+		return ejection.allowedAccess()
 	}
 	return Open
 }
 
 // updatePatientAccess sets this node's access to each backend of a service for patient requests. If the ejections leave fewer backends open
-// than Settings.requiredInService returns, the least unhealthy ejected backends are opened until the required number is open.
+// than Settings.minBackendsInService returns, the least unhealthy ejected backends are opened until the required number is open.
 func (n *Node) updatePatientAccess(svc *service) {
 	var ejected []*Ejection
 	for _, instance := range svc.backends {
@@ -51,7 +51,7 @@
 		}
 		return a.compare(b.Key)
 	})
-	shortfall := max(0, n.state.Settings().requiredInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
+	shortfall := max(0, n.state.Settings().minBackendsInService(len(svc.backends))-(len(svc.backends)-len(ejected)))
 	invariant.Assert(shortfall <= len(ejected), "the required number of open backends is at most the number of ready backends")
 	kept := map[InstanceID]bool{}
 	for _, ejection := range ejected[:shortfall] {
@@ -67,8 +67,8 @@
 }
 
 // updateStrictAccess sets this node's access to each backend of a service for strict requests. It keeps no minimum number of backends open,
-// because rejecting a write is better than losing the write. While no backend of the service is available, it pushes a NoneAvailable action
-// at each call that is at least noneAvailableInterval after the previous action.
+// because rejecting a write is better than losing the write. If no backend of the service is available, the function pushes a NoneAvailable
+// action, but only one in each noneAvailableInterval.
 func (n *Node) updateStrictAccess(svc *service) {
 	available := false
 	for _, instance := range svc.backends {
--- a/internal/gateway/outlier/coordinator.go
+++ b/internal/gateway/outlier/coordinator.go
@@ -24,7 +24,7 @@
 	now              time.Duration
 	startedAt        time.Duration
 	fencingToken     uint64
-	nodeCount        int
+	nodeCount        int // The number of live nodes, at least 1.
 	state            *State
 	backends         map[InstanceID]Backend
 	evidence         map[Key]*keyEvidence
@@ -36,29 +36,30 @@
 
 // keyEvidence holds the reports of all nodes on a key.
 type keyEvidence struct {
+	// The newest observation of each node that has reported on the key.
 	byWitness map[Slot]*receivedObservation
 	// True if the key must be evaluated at the next Tick.
 	changed     bool
 	requestedAt time.Duration // The time of the last report request for the key.
 	proposedAt  time.Duration // The time of the last proposal of an ejection of the key.
-	// The newest confirmed loss of each witness.
+	// For each witness, the newest lost answer or connection reset that counts as partial evidence.
 	losses map[Slot]confirmedLoss
 }
 
 // confirmedLoss is a lost answer that was confirmed (keyEvidence.confirmsLoss), or a connection reset.
 type confirmedLoss struct {
-	revision   uint64
-	observedAt time.Duration
+	revision   uint64        // The revision of the key's ejection under which the loss was observed.
+	observedAt time.Duration // The time of the loss on the coordinator's clock.
 }
 
 // receivedObservation is a node's newest observation of a key.
 type receivedObservation struct {
 	Observation
-	zone        string
-	incarnation uint64
-	seq         uint64
-	selfDoubt   bool
-	receivedAt  time.Duration
+	zone        string        // The node's zone.
+	incarnation uint64        // Report.Incarnation
+	seq         uint64        // Report.Seq
+	selfDoubt   bool          // Report.SelfDoubt
+	receivedAt  time.Duration // The time when the coordinator received the report.
 }
 
 // NewCoordinator returns a Coordinator. The fencing token must be higher than that of every earlier coordinator.
@@ -68,7 +69,7 @@
 }
 
 // SetNodeCount sets the number of live nodes.
-func (c *Coordinator) SetNodeCount(n int) { c.nodeCount = max(n, 1) }
+func (c *Coordinator) SetNodeCount(count int) { c.nodeCount = max(count, 1) }
 
 // ApplyState sets the state. e is the entry that was just applied, or nil if a snapshot was restored. The coordinator keeps a reference to the
 // state. The host must therefore call ApplyState immediately after each change of the state.
@@ -100,8 +101,9 @@
 	}
 }
 
-// HandleReport stores the observations of a node's report. It ignores observations of backends that are not ready, invalid observations and
-// observations that are not newer than the latest one of the same witness.
+// HandleReport stores the observations of a node's report. It ignores an observation if the backend is not ready or if the observation is
+// invalid. It also ignores an observation if the same incarnation of the node has sent a report on the key with an equal or higher sequence
+// number before.
 func (c *Coordinator) HandleReport(from Slot, r Report) {
 	for _, o := range r.Observations {
 		b, known := c.backends[o.ID]
@@ -134,7 +136,7 @@
 		evidence := c.evidence[key]
 		if evidence.changed {
 			evidence.changed = false
-			c.evaluate(key, evidence)
+			c.proposeEjectionIfRuleMet(key, evidence)
 		}
 		if !c.hasFreshEvidence(evidence) {
 			delete(c.evidence, key)
@@ -148,7 +150,7 @@
 	for i := range c.state.Ejections() {
 		c.proposeRecoveryStep(&c.state.Ejections()[i])
 	}
-	c.proposeForgetGone()
+	c.proposeForgetEntry()
 }
 
 // hasFreshEvidence reports whether any observation of a key was received at most evidenceTTL ago.
@@ -161,8 +163,8 @@
 	return false
 }
 
-// propose reports whether the state would accept an entry now. If so, it pushes a proposal of the entry, unless the last proposal was less than
-// retryInterval ago. proposedAt points to the time of the last proposal and is updated.
+// propose proposes an entry and returns true if the state would accept the entry now. If the last proposal is less than retryInterval old,
+// propose returns true but does not propose the entry again. proposedAt points to the time of the last proposal, and propose updates this time.
 func (c *Coordinator) propose(e Entry, proposedAt *time.Duration) bool {
 	e.Author, e.FencingToken = coordinatorName, c.fencingToken
 	if result, _ := c.state.Decide(&e); result != routing.Accepted {
--- a/internal/gateway/outlier/evaluate.go
+++ b/internal/gateway/outlier/evaluate.go
@@ -22,9 +22,9 @@
 // Constants for the confirmation of a lost answer. If the backend gave fast answers to other requests during the attempt, the missing answer is
 // taken as lost and not as late.
 const (
-	// The age of partial evidence above which the evidence can no longer be confirmed. The reported window slots then no longer cover the attempt.
+	// Partial evidence that is older than this time cannot be confirmed, because the reported window slots no longer cover the attempt.
 	lossConfirmTimeout = 4 * time.Second
-	// The number of clean answers needed in the second half of the attempt's time-out.
+	// The number of clean answers that confirm a lost answer. They must have arrived in the second half of the time-out of the lost attempt.
 	minConfirmingAnswers = 2
 	// The mean latency of the confirming answers must be at most the attempt's time-out divided by this number.
 	confirmingLatencyDivisor = 6
@@ -32,11 +32,12 @@
 
 // Constants for the comparison of failure rates.
 const (
-	// The age of a report above which the reported window is no longer current.
+	// A report that is older than this time is not used for failure rates, because its window is no longer current.
 	freshWindow = 2 * time.Second
-	// The number of failures of a key from which all nodes are asked for reports. The failures of the node with the most failures do not count.
+	// All nodes are asked for reports on a key that has at least this number of failures. The failures of the node with the most failures do not
+	// count.
 	minFailuresToRequest = 2
-	// The number of answers of the service's other backends that a comparison needs.
+	// The comparison needs at least this number of answers of the service's other backends.
 	minServiceAnswers = 20
 	// The limit for the failure rate of a patient key is this multiple of the other backends' failure rate, but at least patientMinRate.
 	patientRateFactor = 2
@@ -51,11 +52,11 @@
 // minFailures is the number of failures that an ejection by failure rate needs, by mode.
 var minFailures = [modeCount]uint32{5, 8}
 
-// halfQuorumDelay is the time after a report request from which the answers of half of the nodes suffice. Before this time, three quarters of
-// the nodes must have answered.
+// halfQuorumDelay is the time for which the coordinator waits until three quarters of the nodes have answered a report request. After this time,
+// the answers of half of the nodes suffice.
 const halfQuorumDelay = 500 * time.Millisecond
 
-// assessment combines the reports on a key that belong to the current revision of its ejection.
+// assessment combines the nodes' reports on a key. It contains only observations under the current revision of the key's ejection.
 type assessment struct {
 	key      Key
 	evidence *keyEvidence
@@ -71,9 +72,9 @@
 	selfDoubt bool
 	// The evidence of all included nodes that is not older than evidenceTTL.
 	items []Evidence
-	// The sum of the current windows of all included nodes.
+	// The sum of the windows of all included nodes. Only observations that are at most freshWindow old count.
 	total Window
-	// The current window of the node with the most failures. Empty if there is only one node.
+	// The window of the node with the most failures, among the windows in total. Empty if there is only one node.
 	worst Window
 }
 
@@ -83,14 +84,14 @@
 	return o.Rev == a.revision && from != a.excludedWitness
 }
 
-// assess combines the reports on a key. ejection is nil if the key was never ejected.
-func (c *Coordinator) assess(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
+// newAssessment combines the reports on a key. ejection is nil if the key was never ejected.
+func (c *Coordinator) newAssessment(key Key, evidence *keyEvidence, ejection *Ejection) *assessment {
 	a := &assessment{key: key, evidence: evidence, backend: c.backends[key.ID], revision: c.state.ejectionRevision(key),
 		recovering: ejection != nil && ejection.Step != InService, excludedWitness: membership.NoSlot}
 	if a.recovering {
 		a.excludedWitness = ejection.SoleWitness
 	}
-	for _, from := range evidence.witnesses() {
+	for _, from := range evidence.sortedWitnesses() {
 		o := evidence.byWitness[from]
 		if !a.includes(from, o) {
 			continue
@@ -120,31 +121,31 @@
 // isFresh reports whether an observation was received at most freshWindow ago, so that its window is current.
 func (c *Coordinator) isFresh(o *receivedObservation) bool { return c.now-o.receivedAt <= freshWindow }
 
-// witnesses returns the nodes that have reported on a key, in ascending order.
-func (k *keyEvidence) witnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
+// sortedWitnesses returns the nodes that have reported on a key, in ascending order.
+func (k *keyEvidence) sortedWitnesses() []Slot { return slices.Sorted(maps.Keys(k.byWitness)) }
 
-// evaluate applies the three rules to the reports of all nodes on a key and proposes an ejection if one of the rules is met.
-func (c *Coordinator) evaluate(key Key, evidence *keyEvidence) {
+// proposeEjectionIfRuleMet applies the three rules to the reports of all nodes on a key and proposes an ejection if one of the rules is met.
+func (c *Coordinator) proposeEjectionIfRuleMet(key Key, evidence *keyEvidence) {
 	ejection := c.state.Ejection(key)
 	if c.backends[key.ID].Phase != Ready || ejection != nil && ejection.Step == Ejected {
 		return
 	}
-	a := c.assess(key, evidence, ejection)
+	a := c.newAssessment(key, evidence, ejection)
 	losses, settled := c.lossWitnesses(a)
 	enoughWitnesses := len(losses)+len(a.conclusive) > 1 || a.recovering
-	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.enoughNodesAnswered(key, evidence) && c.hasWitnessInZone(a, losses)
+	lossesUsable := len(losses) > 0 && enoughWitnesses && settled && c.hasEnoughReports(key, evidence) && c.hasWitnessInZone(a, losses)
 	if c.ejectOnConclusiveEvidence(a, losses, lossesUsable) {
 		return
 	}
 	sufficient := 0
-	if a.recovering { // The access is limited, so the loss of a single answer suffices for another ejection.
+	if a.recovering { // The access is limited. The lost answers of a single node therefore suffice for another ejection.
 		sufficient = len(losses)
 	}
 	if lossesUsable && c.proposeEjection(a, ruleLost, losses, sufficient) {
 		return
 	}
 	others := a.total.minus(a.worst)
-	if others.Failing < minFailuresToRequest || others.failureRate() < suspectFailureRate[key.Mode] || !c.enoughNodesAnswered(key, evidence) {
+	if others.Failing < minFailuresToRequest || others.failureRate() < suspectFailureRate[key.Mode] || !c.hasEnoughReports(key, evidence) {
 		return
 	}
 	if witnesses, exceeds := c.checkFailureRate(a); exceeds {
@@ -156,9 +157,9 @@
 	}
 }
 
-// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. losses are the nodes that observed a lost answer. If
-// lossesUsable is true, these nodes are added to the witnesses of the ejection. The function returns false if there is no conclusive evidence
-// or if the state would not accept the entry.
+// ejectOnConclusiveEvidence proposes an ejection if there is conclusive evidence. losses are the nodes with a lost answer or a connection reset
+// (lossWitnesses). If lossesUsable is true, these nodes are added to the witnesses of the ejection. The function returns false if there is no
+// conclusive evidence or if the state would not accept the entry.
 func (c *Coordinator) ejectOnConclusiveEvidence(a *assessment, losses []Slot, lossesUsable bool) bool {
 	if len(a.conclusive) == 0 {
 		return false
@@ -175,9 +176,9 @@
 	return c.proposeEjection(a, ruleConclusive, witnesses, sufficient)
 }
 
-// enoughNodesAnswered reports whether enough nodes have answered the current report request for a key. If the last request is older than
-// retryInterval, the function queues a new request. While answers are missing, the key is evaluated again at the next Tick.
-func (c *Coordinator) enoughNodesAnswered(key Key, evidence *keyEvidence) bool {
+// hasEnoughReports reports whether enough nodes (halfQuorumDelay) have answered the current report request for a key. If the last request is at
+// least retryInterval old, the function queues a new request. If too few nodes have answered, the key is evaluated again at the next Tick.
+func (c *Coordinator) hasEnoughReports(key Key, evidence *keyEvidence) bool {
 	answers := 0
 	for _, o := range evidence.byWitness {
 		if o.receivedAt >= evidence.requestedAt {
@@ -196,9 +197,9 @@
 	return false
 }
 
-// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. It also returns true if no node of the backend's zone has
-// recently observed an answer or a failure of the backend. Otherwise witnesses in other zones alone do not suffice, because their links to the
-// backend's zone may be faulty.
+// hasWitnessInZone reports whether one of the witnesses is in the backend's zone. Witnesses in other zones do not suffice while nodes of the
+// backend's zone observe the backend, because the links between the zones may be faulty. The function also returns true if no node of the
+// backend's zone has recently observed an answer or a failure of the backend.
 func (c *Coordinator) hasWitnessInZone(a *assessment, witnesses []Slot) bool {
 	zoneHasTraffic := false
 	for from, o := range a.evidence.byWitness {
@@ -210,17 +211,17 @@
 	return !zoneHasTraffic
 }
 
-// confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not merely late. The backend must have given
+// confirmsLoss reports whether other answers of the backend confirm that an answer was lost and is not late. The backend must have given
 // at least minConfirmingAnswers clean answers in the second half of the attempt's time-out. These answers must have been fast, and they must not
-// all have arrived at the same node. If there is only one node, the answers to this node suffice. at is the time when the attempt timed out, and
-// nodes is the number of live nodes.
-func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, at time.Duration, nodes int) bool {
+// all have arrived at the same node. If there is only one node, the answers to this node suffice. timedOutAt is the time when the attempt timed
+// out, and nodeCount is the number of live nodes.
+func (k *keyEvidence) confirmsLoss(revision uint64, item Evidence, timedOutAt time.Duration, nodeCount int) bool {
 	var total, largest Window
 	for _, o := range k.byWitness {
 		var sum Window
 		for i, w := range o.Slots {
 			end := o.receivedAt - o.SlotAge - time.Duration(i)*slotDuration
-			if o.Rev == revision && end <= at && end-slotDuration >= at-item.Timeout/2 {
+			if o.Rev == revision && end <= timedOutAt && end-slotDuration >= timedOutAt-item.Timeout/2 {
 				sum.add(w)
 			}
 		}
@@ -231,15 +232,15 @@
 	isFast := func(w Window) bool {
 		return w.Clean > 0 && time.Duration(w.LatencyMillis/w.Clean)*time.Millisecond <= item.Timeout/confirmingLatencyDivisor
 	}
-	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodes == 1 || isFast(total.minus(largest)))
+	return total.Clean >= minConfirmingAnswers && isFast(total) && (nodeCount == 1 || isFast(total.minus(largest)))
 }
 
-// lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. settled is
-// false while a report request for the confirmation is not yet answered.
-func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, settled bool) {
-	settled = true
+// lossWitnesses returns the nodes with a confirmed lost answer or a connection reset. A connection reset needs no confirmation. complete is
+// false while a lost answer cannot be confirmed, because too few nodes have answered the report request (hasEnoughReports).
+func (c *Coordinator) lossWitnesses(a *assessment) (witnesses []Slot, complete bool) {
+	complete = true
 	losses := a.evidence.losses
-	for _, from := range a.evidence.witnesses() {
+	for _, from := range a.evidence.sortedWitnesses() {
 		o := a.evidence.byWitness[from]
 		if !a.includes(from, o) {
 			continue
@@ -250,8 +251,8 @@
 			if evidenceWeights[item.Kind][a.key.Mode] != Partial || known || c.now-at > lossConfirmTimeout {
 				continue
 			}
-			if item.Kind == LostAnswer && !c.enoughNodesAnswered(a.key, a.evidence) {
-				settled = false
+			if item.Kind == LostAnswer && !c.hasEnoughReports(a.key, a.evidence) {
+				complete = false
 			} else if item.Kind == ConnectionReset || a.evidence.confirmsLoss(a.revision, item, at, c.nodeCount) {
 				losses[from] = confirmedLoss{a.revision, at}
 			}
@@ -260,7 +261,7 @@
 			witnesses = append(witnesses, from)
 		}
 	}
-	return witnesses, settled
+	return witnesses, complete
 }
 
 // otherBackendWindows returns each node's window of the service's other backends. It leaves out backends whose failure rate is at least
@@ -304,9 +305,9 @@
 	return others.attemptCount() >= minServiceAnswers && own.Failing >= minFailures[mode] && own.failureRate() >= limit
 }
 
-// checkFailureRate reports in exceeds whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
-// observations of any one node are left out. witnesses are the nodes that observed failures, with the most failures first.
-func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, exceeds bool) {
+// checkFailureRate reports in tooHigh whether a backend's failure rate is too high (isUnhealthy). The rate must remain too high when the
+// observations of any one node are left out. witnesses are the nodes that observed failures. The node with the most failures comes first.
+func (c *Coordinator) checkFailureRate(a *assessment) (witnesses []Slot, tooHigh bool) {
 	byNode := c.otherBackendWindows(a)
 	var others Window
 	for _, w := range byNode {
--- a/internal/gateway/outlier/observe.go
+++ b/internal/gateway/outlier/observe.go
@@ -21,7 +21,7 @@
 	delayedCount int
 	// The end of the local ejection. 0 if there is none.
 	ejectedUntil time.Duration
-	// The number of local ejections so far.
+	// The number of local ejections of the key so far. It is kept when the revision changes.
 	localEjections int
 	// The access that was last pushed to the host.
 	access Access
@@ -46,8 +46,8 @@
 type delayedEvidence struct {
 	evidenceItem
 	state    *keyState
-	revision uint64
-	sentAt   time.Duration
+	revision uint64        // The revision of the key's ejection when the attempt was sent.
+	sentAt   time.Duration // The time when the attempt was sent.
 }
 
 // observedReset records that a backend reset a connection.
@@ -56,23 +56,23 @@
 	observedAt time.Duration
 }
 
-// resetKey discards the observations of a key and sets its revision. Observations under another revision do not count. The number of local
-// ejections and the access are kept.
+// resetKey discards this node's observations of a key and sets the revision of the key's state. The number of local ejections and the access are
+// kept. The observations are discarded because the coordinator ignores observations under an earlier revision.
 func (n *Node) resetKey(state *keyState, rev uint64) {
 	*state = keyState{key: state.key, backend: state.backend, revision: rev, revisionSince: n.now, localEjections: state.localEjections,
 		access: state.access, local: state.local}
 	n.active[state.key] = state
 }
 
-// RecordAttempt records how an attempt ended. sent is the time when the attempt was sent, and rev is the result of Revision at that time. The
+// RecordAttempt records how an attempt ended. sentAt is the time when the attempt was sent, and rev is the result of Revision at that time. The
 // host calls RecordAttempt once for each attempt.
-func (n *Node) RecordAttempt(k Key, rev uint64, sent time.Duration, seen AttemptEnd) {
+func (n *Node) RecordAttempt(k Key, rev uint64, sentAt time.Duration, end AttemptEnd) {
 	instance := n.backends[k.ID]
-	kind := seen.EvidenceKind()
+	kind := end.EvidenceKind()
 	if instance == nil || !n.state.Enabled() {
 		return
 	}
-	if seen.provesPathWorks() {
+	if end.provesPathWorks() {
 		instance.lastAnswerAt = n.now
 		path := n.zonePaths[instance.Zone]
 		if path == nil {
@@ -84,7 +84,7 @@
 	if kind == ConnectionReset {
 		n.resets = append(n.resets, observedReset{k.ID, n.now})
 	}
-	n.recordOutcome(instance, k, rev, kind, sent)
+	n.recordOutcome(instance, k, rev, kind, sentAt)
 }
 
 // RecordEvidence records evidence that does not follow from the end of an attempt. The kind is StrayAnswer or DuplicateAnswer. rev is the result
@@ -96,7 +96,7 @@
 }
 
 // recordOutcome records a clean answer or a failure of a key. It ignores an attempt that was sent under another revision than the current one.
-func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sent time.Duration) {
+func (n *Node) recordOutcome(instance *backend, k Key, rev uint64, kind EvidenceKind, sentAt time.Duration) {
 	if k.Mode >= modeCount || kind == NoEvidence {
 		return
 	}
@@ -108,7 +108,7 @@
 	case kind == CleanAnswer:
 		w := state.window.advanceTo(n.now)
 		w.Clean++
-		w.LatencyMillis += uint32((n.now - sent).Milliseconds())
+		w.LatencyMillis += uint32((n.now - sentAt).Milliseconds())
 		instance.service.windows[k.Mode].advanceTo(n.now).Clean++
 		state.Clean++
 		if s := &instance.keys[Strict]; k.Mode == Patient && s.revision > 0 {
@@ -119,7 +119,7 @@
 		if k.Mode == Strict && n.mayEjectLocally(instance) {
 			state.delayedCount++
 		}
-		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sent}, state, rev, sent})
+		n.delayed = append(n.delayed, delayedEvidence{evidenceItem{kind, n.now, n.now - sentAt}, state, rev, sentAt})
 		n.active[k] = state
 		n.queueAccessUpdate(instance.service)
 	default:
@@ -186,8 +186,8 @@
 	return k.delayedCount > 0 || k.ejectedUntil > now
 }
 
-// releaseDelayedEvidence processes the evidence whose delay is over. Evidence counts only if nothing in the meantime shows that a network link
-// or this node itself may have caused the failure. Other evidence is dropped.
+// releaseDelayedEvidence processes the evidence whose delay is over. It drops evidence if the observations during the delay show that a network
+// link or this node itself may have caused the failure. It counts all other evidence.
 func (n *Node) releaseDelayedEvidence() {
 	released := 0
 	for _, delayed := range n.delayed {
@@ -227,9 +227,9 @@
 	return len(others)
 }
 
-// maintainKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
+// updateActiveKey drops expired evidence, ends local ejections, schedules reports and probes an ejected backend that this node owns. It removes the
 // key from Node.active when no work is pending.
-func (n *Node) maintainKey(state *keyState) {
+func (n *Node) updateActiveKey(state *keyState) {
 	state.evidence = slices.DeleteFunc(state.evidence, func(item evidenceItem) bool { return n.now-item.observedAt > evidenceTTL })
 	if state.ejectedUntil > 0 && state.ejectedUntil <= n.now {
 		state.ejectedUntil = 0
--- a/internal/gateway/outlier/outlier_test.go
+++ b/internal/gateway/outlier/outlier_test.go
@@ -90,6 +90,7 @@
 			cleared = cleared || e.Verb == Clear
 			return result
 		}
+		// runTurn calls the coordinator's Tick and applies the proposed entries to the state.
 		runTurn := func() {
 			now += 10 * time.Millisecond
 			coordinator.Tick(now)
@@ -216,6 +217,7 @@
 		node.ApplyState(s, nil)
 		access := map[Key]Access{}
 		now, connected, reported, gone, lostAt := time.Duration(0), true, 0, false, time.Duration(-1)
+		// run advances the clock by a duration and checks the node's actions. Instance i-2 answers a request in each step if answering is true.
 		run := func(duration time.Duration, answering bool) {
 			for end := now + duration; now < end; {
 				now += 100 * time.Millisecond
@@ -293,10 +295,11 @@
 }
 
 // Guards against an ejection because of a faulty link or a single node. The partial evidence of nodes of another zone must not eject a backend
-// while the nodes of the backend's zone get answers. Conclusive evidence must eject a backend also if no node of the backend's zone has evidence.
+// while the nodes of the backend's zone get answers. Conclusive evidence of a node of another zone must eject the backend.
 // A failure rate must lead to an ejection only if the rate remains too high when the observations of any one node are left out.
-func TestSingleZoneOrSingleNodeEvidence(t *testing.T) {
+func TestEvidenceOfOneZoneOrNodeIsInsufficient(t *testing.T) {
 	t.Parallel()
+	// countEjections returns the number of proposed ejections. makeReports returns the reports of the nodes, by node, with the given sequence number.
 	countEjections := func(makeReports func(seq uint64) []Report) (ejections int) {
 		coordinator := NewCoordinator(1, 0)
 		coordinator.SetNodeCount(4)
@@ -317,16 +320,18 @@
 		}
 		return ejections
 	}
+	// report returns a node's report on instance i-1 with the given counts of i-1 and one item of evidence of each given kind. The other backends of
+	// the service gave 50 clean answers.
 	report := func(seq uint64, zone string, clean, failing uint32, kinds ...EvidenceKind) Report {
 		r := newReport(seq, 0, "i-1", kinds...)
 		r.Zone, r.Observations[0].Window = zone, Window{Clean: clean, Failing: failing}
 		r.Observations[0].ServiceWindow = Window{Clean: clean + 50, Failing: failing}
 		return r
 	}
-	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // Two nodes of zone b see resets, and the nodes of zone a get answers.
+	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // Two nodes of zone b observe resets. The nodes of zone a, which is the backend's zone, get answers.
 		return []Report{report(seq, "b", 0, 0, ConnectionReset), report(seq, "b", 0, 0, ConnectionReset), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	must.Positive(t, countEjections(func(seq uint64) []Report { // A node of zone a sees a reset as well.
+	must.Positive(t, countEjections(func(seq uint64) []Report { // A node of zone a and a node of zone b observe resets.
 		return []Report{report(seq, "b", 0, 0, ConnectionReset), report(seq, "a", 9, 0, ConnectionReset), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
 	must.Eq(t, 0, countEjections(func(seq uint64) []Report { // No node got an answer during the attempts.
@@ -341,17 +346,17 @@
 	must.Positive(t, countEjections(func(seq uint64) []Report {
 		return []Report{report(seq, "b", 9, 0, DuplicateAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 	}))
-	// confirmedBy returns the reports of two nodes with a lost answer and of two other nodes. The parameter confirming is the number of other nodes
+	// newLossReports returns the reports of two nodes with a lost answer and of two other nodes. The parameter confirming is the number of other nodes
 	// that report fast answers during the attempts.
-	confirmedBy := func(seq uint64, confirming int) []Report {
+	newLossReports := func(seq uint64, confirming int) []Report {
 		reports := []Report{report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 0, 0, LostAnswer), report(seq, "a", 9, 0), report(seq, "a", 9, 0)}
 		for i := range confirming {
 			reports[2+i].Observations[0].Slots = slices.Repeat([]Window{{Clean: 50, LatencyMillis: 5000}}, maxReportedSlots)
 		}
 		return reports
 	}
-	must.Eq(t, 0, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 1) }))
-	must.Positive(t, countEjections(func(seq uint64) []Report { return confirmedBy(seq, 2) }))
+	must.Eq(t, 0, countEjections(func(seq uint64) []Report { return newLossReports(seq, 1) }))
+	must.Positive(t, countEjections(func(seq uint64) []Report { return newLossReports(seq, 2) }))
 	invalid := report(1, "a", 0, 0, evidenceKindCount) // A report with an unknown kind of evidence must be ignored and must cause no panic.
 	must.Eq(t, 0, countEjections(func(uint64) []Report { return []Report{invalid} }))
 }
@@ -383,7 +388,7 @@
 }
 
 // Guards against a wrong result of AttemptEnd.EvidenceKind. Such a result would count against a backend that has no fault.
-func TestAttemptEndEvidence(t *testing.T) {
+func TestAttemptEndDeterminesEvidenceKind(t *testing.T) {
 	for want, ends := range map[EvidenceKind][]AttemptEnd{
 		CleanAnswer:     {{Ending: control.Succeeded}, {Ending: control.Succeeded, PartialAnswer: true}},
 		ServerError:     {{Ending: control.Errored}},
@@ -480,10 +485,10 @@
 	must.Nil(t, s.Ejection(Key{"i-0018", Strict}))
 }
 
-// Guards against a service that keeps fewer backends open to patient requests than Settings.requiredInService. When all backends are ejected, no
-// backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must stay open to
-// patient requests. A node that sees all backends fail must doubt its own observations and locally eject only half of the backends.
-func TestMinimumInService(t *testing.T) {
+// Guards against a service that keeps fewer backends open to patient requests than Settings.minBackendsInService returns. When all backends are
+// ejected, no backend may be open to strict requests, and the node must push NoneAvailable every five seconds. The least unhealthy backends must
+// stay open to patient requests. A node at which all backends fail must doubt its own observations and locally eject only half of the backends.
+func TestMinimumInServiceStaysOpen(t *testing.T) {
 	s := enabledState()
 	node := NewNode("a", 1, 0)
 	node.SetConnected(true)
@@ -507,6 +512,7 @@
 		node.SetBackend(readyBackend(id))
 	}
 	node.ApplyState(s, nil)
+	// closedCount returns the number of backends that are closed to the node's requests of a mode.
 	closedCount := func(m Mode) (n int) {
 		for _, id := range ids {
 			if access[Key{id, m}] == Closed {
--- a/internal/gateway/outlier/recovery.go
+++ b/internal/gateway/outlier/recovery.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// The requirements of the recovery steps, and the TTL of unknown instances.
+// The requirements of the recovery steps, and the time after which ejections of instances that are not in the registry are removed.
 const (
 	// The upper limit of minEjectionDuration.
 	maxEjectionTime = 10 * time.Minute
-	// The number of consecutive clean probes that end the step Ejected. The minimum duration of the ejection must have passed as well.
+	// The number of consecutive clean probes that end the step Ejected, if minEjectionDuration has passed. A clean probe is a probe that the
+	// probed instance answered as healthy.
 	readmitProbes = 3
 	// The number of clean answers that end the step ReadsOnly.
 	readmitReads = 20
-	// The number of clean answers that end the step LimitedWrites. The number doubles with each repeated ejection.
+	// The number of clean answers that end the step LimitedWrites after the first ejection. The number doubles with each repeated ejection.
 	readmitWrites = 40
 	// The maximum number of these doublings.
 	maxWriteDoublings = 4
 	// The clean answers must come from at least this number of nodes, or from all nodes if there are fewer.
 	readmitNodes = 4
-	// Each failure raises the required number of clean answers by this number.
+	// Each failure raises the required number of clean answers by this number. This applies to the last step before InService.
 	failurePenalty = 10
 	// When a coordinator has run for longer than this time, it removes the ejections of instances that are not in the registry.
 	unknownTTL = 60 * time.Second
@@ -101,9 +102,9 @@
 	return sum
 }
 
-// proposeForgetGone proposes to remove the ejections of instances that are gone. When the coordinator has run for longer than unknownTTL, the
-// ejections of instances that are not in the registry are removed as well.
-func (c *Coordinator) proposeForgetGone() {
+// proposeForgetEntry proposes a Forget entry, which removes the ejections of instances that are gone. When the coordinator has run for longer
+// than unknownTTL, the entry also removes the ejections of instances that are not in the registry.
+func (c *Coordinator) proposeForgetEntry() {
 	if c.now-c.forgetProposedAt < retryInterval {
 		return
 	}
--- a/internal/gateway/outlier/settings.go
+++ b/internal/gateway/outlier/settings.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if p := time.Duration(s.ProbeIdleAfter); p > 0 && p < time.Second {
-		return logentry.FieldErrorf("probe_silent", "%v is less than 1 s", p)
+		return logentry.FieldErrorf("probe_silent", "idle time %v is less than the minimum of 1 s", p)
 	}
 	return nil
 }
@@ -73,13 +73,13 @@
 	return Patient
 }
 
-// requiredInService returns how many of a service's ready backends must stay in service for patient requests.
-func (s *Settings) requiredInService(ready int) int {
-	return min(ready, max(s.MinInService, (ready*s.MinInServicePercent+99)/100))
+// minBackendsInService returns how many of a service's ready backends must stay in service for patient requests.
+func (s *Settings) minBackendsInService(readyBackends int) int {
+	return min(readyBackends, max(s.MinInService, (readyBackends*s.MinInServicePercent+99)/100))
 }
 
 // soleWitnessLimits returns how many of a service's ready backends, and how many backends in total, may be ejected on the evidence of one
 // witness alone. Each refutation of the witness halves both limits.
-func (s *Settings) soleWitnessLimits(ready, refuted int) (ofService, ofAll int) {
-	return max(1, ready*s.SoleWitnessPercent/100) >> refuted, s.SoleWitnessMax >> refuted
+func (s *Settings) soleWitnessLimits(readyBackends, refutations int) (perService, total int) {
+	return max(1, readyBackends*s.SoleWitnessPercent/100) >> refutations, s.SoleWitnessMax >> refutations
 }
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond // The step of the simulated clock.
 	ms           = time.Millisecond
 	farFuture    = time.Hour // Later than the end of every simulation.
 )
@@ -27,11 +27,11 @@
 // simService is a service of the simulated site.
 type simService struct {
 	name                string
-	backendCount        int     // The number of backends at the start.
-	writeRate, readRate float64 // Strict and patient requests per second, over all nodes.
-	typicalLatency      time.Duration
-	timeout             time.Duration
-	backends            []*simBackend
+	backendCount        int           // The number of backends at the start.
+	writeRate, readRate float64       // Strict and patient requests per second, over all nodes.
+	typicalLatency      time.Duration // The median latency of a backend with the latencyFactor 1.
+	timeout             time.Duration // The time-out of a request.
+	backends            []*simBackend // The backends that are not gone.
 }
 
 // faultFunc returns the kind of evidence that a backend's fault causes on a request, and the factor by which the fault multiplies the latency.
@@ -46,8 +46,8 @@
 	faultStart      time.Duration // The start of the fault.
 	faultEnd        time.Duration // The end of the fault. 0: the fault does not end.
 	crashed         bool
-	latencyFactor   float64
-	firstEvidenceAt time.Duration // The time when a node first saw evidence.
+	latencyFactor   float64       // The backend's typical latency, as a multiple of the service's typical latency.
+	firstEvidenceAt time.Duration // The time when a node first saw evidence after faultStart. farFuture: no evidence yet.
 	faulty          bool          // True if the backend itself has a fault, as opposed to a link to it.
 	requests        []*simRequest // The requests in flight.
 }
@@ -70,13 +70,13 @@
 	slot        Slot
 	zone        int
 	state       *State
-	applied     int                   // The number of applied entries.
-	applyAt     map[int]time.Duration // The time when each entry arrives, by index.
+	applied     int                   // The number of log entries that the node has applied.
+	applyAt     map[int]time.Duration // The time when each log entry arrives at the node, by index of the entry.
 	access      map[Key]SetAccess
 	inFlight    map[Key]int // The number of requests in flight.
 	lastSentAt  map[Key]time.Duration
 	forgeReport func(node *simNode) *Report // Returns a false report of a lying node. Nil if the node reports the truth.
-	unserved    int                         // The number of requests for which no backend was open.
+	unserved    int                         // The number of requests for which pickBackend returned no backend.
 }
 
 // simulation is a site with nodes in three zones, its backends, the core's log and the links between them.
@@ -93,30 +93,30 @@
 	state           *State
 	events          map[time.Duration][]func()
 	partitions      []partition
-	baseErrorRate   float64 // The fraction of requests that any backend answers with a 5xx, also without a fault.
+	baseErrorRate   float64 // The fraction of the requests without a fault that a backend answers with a 5xx.
 	startedBackends int
 
 	faultCounts                      map[EvidenceKind]int // The number of requests with a fault, by kind.
 	ejections, wrongEjections        int
-	detectionTimes, propagationTimes []time.Duration // From the first evidence to the entry, and from the entry to each connected node.
+	detectionTimes, propagationTimes []time.Duration // From the first evidence to the Eject entry, and from the entry to each connected node.
 	reportsSent                      int
-	// The largest number of backends not open to patient requests, as a fraction of the allowed number. The allowed number is the number of ready
-	// backends minus Settings.requiredInService.
-	worstPatientShare    float64
-	wronglyClosed        time.Duration // The total time that ejections kept healthy backends closed, averaged over the nodes.
-	wronglyClosedLocally time.Duration // The total time that local ejections kept healthy backends closed, averaged over the nodes.
+	// The largest number of a service's ready backends that were not open to a node's patient requests. The value is a fraction of the allowed
+	// number, which is the number of ready backends minus Settings.minBackendsInService. It is logged as max_closed_fraction.
+	maxClosedFraction    float64
+	wronglyClosed        time.Duration // The total time in which ejections closed healthy backends to strict requests, averaged over the nodes.
+	wronglyClosedLocally time.Duration // The same total for local ejections.
 	wronglyEjected       map[InstanceID]bool
 	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
 
 // partition separates one zone or one node from everything else for a period.
 type partition struct {
-	zone, node int // -1: none.
+	zone, node int // The index of the separated zone or of the separated node. The other value is -1.
 	from, to   time.Duration
 }
 
-// largeSite returns the services of a site with 144 backends.
-func largeSite() []*simService {
+// largeSiteServices returns the services of a site with 144 backends.
+func largeSiteServices() []*simService {
 	return []*simService{
 		{"libro", 48, 560, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 64, 80, 900, 120 * ms, 1500 * ms, nil},
@@ -124,8 +124,8 @@
 	}
 }
 
-// smallSite returns the services of a site with 28 backends.
-func smallSite() []*simService {
+// smallSiteServices returns the services of a site with 28 backends.
+func smallSiteServices() []*simService {
 	return []*simService{
 		{"libro", 6, 69, 0, 160 * ms, 2 * time.Second, nil},
 		{"catalogo", 13, 10, 217, 120 * ms, 1500 * ms, nil},
@@ -133,6 +133,7 @@
 	}
 }
 
+// newSimulation returns a simulation with the given number of nodes and the services of a site. Outlier detection is enabled.
 func newSimulation(seed int64, nodes int, services []*simService) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), services: services, state: NewState(),
 		events: map[time.Duration][]func(){}, faultCounts: map[EvidenceKind]int{}, wronglyEjected: map[InstanceID]bool{}}
@@ -153,8 +154,10 @@
 	return sim
 }
 
-func zoneName(i int) string { return fmt.Sprint("zone-", i) }
+// zoneName returns the name of the zone with the given index, from 0 to 2.
+func zoneName(zoneIndex int) string { return fmt.Sprint("zone-", zoneIndex) }
 
+// startBackend starts a backend of a service in the zone with the given index, and registers the backend.
 func (sim *simulation) startBackend(svc *simService, zone int) *simBackend {
 	sim.startedBackends++
 	b := &simBackend{Backend: Backend{ID: InstanceID(fmt.Sprintf("i-%03d", sim.startedBackends)), Service: svc.name, Zone: zoneName(zone)}, service: svc,
@@ -164,6 +167,7 @@
 	return b
 }
 
+// updateRegistry passes a backend's description to all nodes and to the coordinator, as the registry does after a change.
 func (sim *simulation) updateRegistry(b *simBackend) {
 	for i, node := range sim.nodes {
 		instance := b.Backend
@@ -173,6 +177,7 @@
 	sim.coordinator.SetBackend(b.Backend)
 }
 
+// startCoordinator replaces the coordinator by a new one on the node with the given index.
 func (sim *simulation) startCoordinator(fencingToken uint64, node int) {
 	sim.coordinator, sim.coordinatorNode = NewCoordinator(fencingToken, sim.now), node
 	sim.coordinator.SetNodeCount(len(sim.nodes))
@@ -184,8 +189,8 @@
 	sim.coordinator.ApplyState(sim.state, nil)
 }
 
-// partitionEnd returns the time when the last current partition between two participants ends, or 0 if they can reach each other. A participant
-// is a node in a zone, or a backend in a zone if the node is -1.
+// partitionEnd returns the time when the last current partition between two participants A and B ends, or 0 if A and B can reach each other. A
+// participant is given by the index of its node and the index of its zone. If the node is -1, the participant is a backend in the zone.
 func (sim *simulation) partitionEnd(nodeA, zoneA, nodeB, zoneB int) (until time.Duration) {
 	for _, p := range sim.partitions {
 		if sim.now < p.from || sim.now >= p.to {
@@ -199,8 +204,8 @@
 	return until
 }
 
-// schedule enqueues an event that the simulation runs after a delay of at least one tick.
-func (sim *simulation) schedule(delay time.Duration, event func()) {
+// scheduleEvent enqueues an event that the simulation runs after a delay of at least one tick.
+func (sim *simulation) scheduleEvent(delay time.Duration, event func()) {
 	at := (sim.now + max(delay, tickInterval)).Truncate(tickInterval)
 	sim.events[at] = append(sim.events[at], event)
 }
@@ -253,15 +258,15 @@
 	}
 }
 
-// run advances the simulation by a duration.
-func (sim *simulation) run(duration time.Duration) {
+// runFor advances the simulation by a duration.
+func (sim *simulation) runFor(duration time.Duration) {
 	for end := sim.now + duration; sim.now < end; {
-		sim.step()
+		sim.advanceOneTick()
 	}
 }
 
-// step advances the simulation by one tick.
-func (sim *simulation) step() {
+// advanceOneTick advances the simulation by one tick.
+func (sim *simulation) advanceOneTick() {
 	sim.now += tickInterval
 	for _, event := range sim.events[sim.now] {
 		event()
@@ -284,12 +289,12 @@
 		switch action := action.(type) {
 		case Propose:
 			if sim.hasQuorum() {
-				sim.schedule(tickInterval, func() { sim.appendEntry(action.Entry) })
+				sim.scheduleEvent(tickInterval, func() { sim.appendEntry(action.Entry) })
 			}
 		case BroadcastRequest:
 			for _, node := range sim.nodes {
 				if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 && sim.rng.Intn(50) > 0 {
-					sim.schedule(tickInterval, func() { node.HandleReportRequest(action.Request) })
+					sim.scheduleEvent(tickInterval, func() { node.HandleReportRequest(action.Request) })
 				}
 			}
 		}
@@ -320,8 +325,8 @@
 			node.access[action.Key] = action
 		case Probe:
 			for _, b := range sim.backends {
-				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)) == 0 {
-					sim.schedule(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // Probes always succeed, also at a faulty backend.
+				if b.ID == action.ID && !b.crashed && sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)) == 0 {
+					sim.scheduleEvent(2*tickInterval, func() { node.HandleProbe(b.ID, b.ID, true) }) // A faulty backend also answers all probes as healthy.
 				}
 			}
 		}
@@ -333,7 +338,8 @@
 	}
 }
 
-func zoneOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
+// zoneIndexOf returns the index of a backend's zone, which is the last digit of the zone's name.
+func zoneIndexOf(b *simBackend) int { return int(b.Zone[len(b.Zone)-1] - '0') }
 
 // deliverReport delivers a report to the coordinator. One of fifty reports is lost, and one of fifty is duplicated.
 func (sim *simulation) deliverReport(node *simNode, report Report) {
@@ -346,7 +352,7 @@
 		copies = 2
 	}
 	for range copies {
-		sim.schedule(time.Duration(sim.rng.Intn(60))*ms, func() {
+		sim.scheduleEvent(time.Duration(sim.rng.Intn(60))*ms, func() {
 			if sim.partitionEnd(int(node.slot), node.zone, sim.coordinatorNode, sim.coordinatorNode%3) == 0 {
 				sim.coordinator.HandleReport(node.slot, report)
 			}
@@ -369,8 +375,8 @@
 	}
 }
 
-// pickBackend returns a backend of the node's zone to which the node may send a request now, or such a backend of another zone if the node's zone
-// has none. It returns nil if there is no such backend in any zone. About one request in ten goes to another zone.
+// pickBackend returns a backend to which the node may send a request now. Backends of the node's zone are preferred, but about one request in ten
+// goes to another zone. If the node may send a request to no backend of any zone, the result is nil.
 func (sim *simulation) pickBackend(node *simNode, svc *simService, m Mode) *simBackend {
 	var near, far []*simBackend
 	for _, b := range svc.backends {
@@ -380,7 +386,7 @@
 		}
 		switch access := node.access[key]; {
 		case access.Access == Closed, access.Access == Limited && (node.inFlight[key] > 0 || sim.now-node.lastSentAt[key] < access.Interval):
-		case zoneOf(b) == node.zone:
+		case zoneIndexOf(b) == node.zone:
 			near = append(near, b)
 		default:
 			far = append(far, b)
@@ -395,6 +401,7 @@
 	return near[sim.rng.Intn(len(near))]
 }
 
+// sendRequest sends a request to a backend and schedules the end of the request. The outcome depends on the backend's fault and on partitions.
 func (sim *simulation) sendRequest(node *simNode, b *simBackend, m Mode) {
 	svc := b.service
 	req := &simRequest{node: node, backend: b, key: Key{b.ID, m}, rev: node.Revision(Key{b.ID, m}), sentAt: sim.now,
@@ -412,12 +419,12 @@
 	if b.faultEnd > 0 { // After the end of the fault the request continues at the usual speed.
 		latency = min(latency, b.faultEnd-sim.now+time.Duration(float64(latency)/slowdown))
 	}
-	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneOf(b)); until > 0 {
+	if until := sim.partitionEnd(int(node.slot), node.zone, -1, zoneIndexOf(b)); until > 0 {
 		latency += until - sim.now + time.Duration(200+sim.rng.Intn(800))*ms
 	}
 	for _, p := range sim.partitions { // A partition that begins while the request is in flight delays the answer.
 		inside := func(index, zone int) bool { return p.node >= 0 && index == p.node || p.zone >= 0 && zone == p.zone }
-		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneOf(b)) {
+		if p.from > sim.now && p.from < sim.now+latency && inside(int(node.slot), node.zone) != inside(-1, zoneIndexOf(b)) {
 			latency += p.to - p.from + time.Duration(200+sim.rng.Intn(800))*ms
 		}
 	}
@@ -444,9 +451,10 @@
 		latency = tickInterval
 	}
 	b.requests = append(slices.DeleteFunc(b.requests, func(r *simRequest) bool { return r.done }), req)
-	sim.schedule(latency, func() { sim.endRequest(req) })
+	sim.scheduleEvent(latency, func() { sim.endRequest(req) })
 }
 
+// endRequest ends a request and records its outcome at the node. It does nothing if the request has already ended.
 func (sim *simulation) endRequest(req *simRequest) {
 	if req.done {
 		return
@@ -460,7 +468,7 @@
 	node.Node.now = sim.now
 	node.RecordAttempt(req.key, req.rev, req.sentAt, req.outcome)
 	if req.laterEvidence != NoEvidence {
-		sim.schedule(2*tickInterval, func() {
+		sim.scheduleEvent(2*tickInterval, func() {
 			if req.backend.firstEvidenceAt == farFuture {
 				req.backend.firstEvidenceAt = sim.now
 			}
@@ -494,17 +502,18 @@
 				}
 			}
 		}
-		minimum := node.state.Settings().requiredInService(ready)
+		minimum := node.state.Settings().minBackendsInService(ready)
 		if open < minimum {
 			panic(fmt.Sprintf("too few backends open to patient requests: node=%d open=%d ready=%d minimum=%d", node.slot, open, ready, minimum))
 		}
-		sim.worstPatientShare = max(sim.worstPatientShare, float64(ready-open)/float64(max(ready-minimum, 1)))
+		sim.maxClosedFraction = max(sim.maxClosedFraction, float64(ready-open)/float64(max(ready-minimum, 1)))
 	}
 }
 
-// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If caller is not -1, the fault
-// is a link fault: it affects only requests from nodes of the zone with the number caller to backends of other zones.
-func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, caller int) {
+// injectFault gives a fraction of a service's backends a fault that affects a fraction of the requests of a mode. If callerZone is -1, the fault
+// affects the requests of all nodes. If callerZone is the index of a zone, the fault is a link fault and affects only the requests from nodes of
+// this zone to backends of other zones.
+func (sim *simulation) injectFault(service string, backendShare float64, m Mode, kind EvidenceKind, requestShare float64, callerZone int) {
 	var candidates []*simBackend
 	for _, b := range sim.backends {
 		if b.Service == service {
@@ -512,9 +521,9 @@
 		}
 	}
 	for _, b := range candidates[:int(backendShare*float64(len(candidates)))] {
-		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, caller < 0
+		b.faultStart, b.faulty = 5*time.Second+time.Duration(sim.rng.Intn(2000))*ms, callerZone < 0
 		b.fault = func(sim *simulation, node *simNode, mode Mode) (EvidenceKind, float64) {
-			if mode == m && sim.rng.Float64() < requestShare && (caller < 0 || caller == node.zone && caller != zoneOf(b)) {
+			if mode == m && sim.rng.Float64() < requestShare && (callerZone < 0 || callerZone == node.zone && callerZone != zoneIndexOf(b)) {
 				return kind, 1
 			}
 			return NoEvidence, 1
@@ -543,10 +552,11 @@
 	if sim.rng.Intn(2) == 0 {
 		sim.resetConnections(func(req *simRequest) bool { return req.backend == b })
 	}
-	sim.schedule(3*time.Second, func() { sim.setPhase(b, Gone) })
-	sim.schedule(5*time.Second, func() { sim.startBackend(b.service, zoneOf(b)) })
+	sim.scheduleEvent(3*time.Second, func() { sim.setPhase(b, Gone) })
+	sim.scheduleEvent(5*time.Second, func() { sim.startBackend(b.service, zoneIndexOf(b)) })
 }
 
+// setPhase changes the phase of a backend and updates the registry.
 func (sim *simulation) setPhase(b *simBackend, p Phase) {
 	b.Phase = p
 	if p == Gone {
@@ -568,12 +578,12 @@
 		sim.partitions = append(sim.partitions, p)
 		// If the partition separates the coordinator's node, another coordinator starts on the other side of the partition.
 		if p.zone == sim.coordinatorNode%3 || p.node == sim.coordinatorNode {
-			sim.schedule(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
+			sim.scheduleEvent(p.from-sim.now+1500*ms, func() { sim.startCoordinator(sim.coordinator.fencingToken+1, (sim.coordinatorNode+1)%len(sim.nodes)) })
 		}
 	}
 	for at := interval; at < farFuture/20; at += time.Duration((0.5 + sim.rng.Float64()) * float64(interval)) {
 		disturbance := sim.rng.Intn(7)
-		sim.schedule(at, func() {
+		sim.scheduleEvent(at, func() {
 			switch disturbance {
 			case 0:
 				sim.crashBackend(randomBackend())
@@ -592,12 +602,12 @@
 				b, slowdown := randomBackend(), []float64{3, 10, 100}[sim.rng.Intn(3)]
 				b.faultStart, b.faultEnd = sim.now, sim.now+10*time.Second
 				b.fault = func(*simulation, *simNode, Mode) (EvidenceKind, float64) { return NoEvidence, slowdown }
-				sim.schedule(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
+				sim.scheduleEvent(10*time.Second, func() { b.fault, b.faultEnd = nil, 0 })
 			case 6: // A backend is replaced by a new instance.
 				if b := randomBackend(); b.Phase == Ready && !b.crashed {
 					sim.setPhase(b, Draining)
-					sim.schedule(2*time.Second, func() { sim.setPhase(b, Gone) })
-					sim.startBackend(b.service, zoneOf(b))
+					sim.scheduleEvent(2*time.Second, func() { sim.setPhase(b, Gone) })
+					sim.startBackend(b.service, zoneIndexOf(b))
 				}
 			}
 		})
@@ -623,8 +633,8 @@
 	}
 }
 
-// runSeeds runs simulations with the seeds from 0 to count-1, three at a time. It passes each finished simulation to collect, one at a time.
-func runSeeds(count int, simulate func(seed int64) *simulation, collect func(sim *simulation)) {
+// runSimulations runs simulations with the seeds from 0 to count-1, three at a time. It passes each finished simulation to collect, one at a time.
+func runSimulations(count int, simulate func(seed int64) *simulation, collect func(sim *simulation)) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	next := make(chan int64)
@@ -663,17 +673,17 @@
 		nodes int
 		site  func() []*simService
 		seeds int
-	}{{12, smallSite, seedCount(24)}, {96, largeSite, seedCount(6)}} {
+	}{{12, smallSiteServices, seedCount(24)}, {96, largeSiteServices, seedCount(6)}} {
 		wrongEjections, ejections, worstShare, simulated, closedLocally, reports := 0, 0, 0.0, time.Duration(0), time.Duration(0), 0
-		runSeeds(tc.seeds, func(seed int64) *simulation {
+		runSimulations(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			sim.scheduleDisturbances(5 * time.Second)
-			sim.run(60 * time.Second)
+			sim.runFor(60 * time.Second)
 			sim.checkConvergence()
 			return sim
 		}, func(sim *simulation) {
 			wrongEjections, ejections, worstShare, simulated = wrongEjections+sim.wrongEjections, ejections+sim.ejections,
-				max(worstShare, sim.worstPatientShare), simulated+sim.now
+				max(worstShare, sim.maxClosedFraction), simulated+sim.now
 			closedLocally, reports = closedLocally+sim.wronglyClosedLocally, reports+sim.reportsSent
 			for _, record := range sim.state.History() {
 				if record.Verb == Eject && sim.wronglyEjected[record.Key.ID] {
@@ -681,7 +691,8 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d worst_patient_share=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
+		t.Logf(
+			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_fraction=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
@@ -715,16 +726,16 @@
 
 // Guards against a node that ejects backends with false reports. At no time may the number of ejections on the evidence of this node alone exceed
 // Settings.soleWitnessLimits.
-func TestOneLyingNode(t *testing.T) {
+func TestLyingNodeStaysWithinLimits(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		nodes     int
 		site      func() []*simService
 		disturbed bool
 		seeds     int
-	}{{96, largeSite, false, seedCount(1)}, {12, smallSite, false, seedCount(6)}, {12, smallSite, true, seedCount(6)}} {
+	}{{96, largeSiteServices, false, seedCount(1)}, {12, smallSiteServices, false, seedCount(6)}, {12, smallSiteServices, true, seedCount(6)}} {
 		maxEjected, ejections, closedTime, simulated, sharedEjections := 0, 0, time.Duration(0), time.Duration(0), 0
-		runSeeds(tc.seeds, func(seed int64) *simulation {
+		runSimulations(tc.seeds, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			if tc.disturbed {
 				sim.scheduleDisturbances(5 * time.Second)
@@ -733,7 +744,7 @@
 			lyingNode := sim.nodes[1]
 			lyingNode.forgeReport = sim.forgedReport
 			for sim.now < 90*time.Second {
-				sim.step()
+				sim.advanceOneTick()
 				soleEjections, byService := 0, map[string]int{}
 				for _, ejection := range sim.state.Ejections() {
 					if ejection.Step != InService && ejection.SoleWitness == lyingNode.slot {
@@ -748,7 +759,7 @@
 					for m := range modeCount {
 						serviceLimit, totalLimit := sim.state.Settings().soleWitnessLimits(len(svc.backends), 0)
 						if count := byService[svc.name+m.String()]; count > serviceLimit && !tc.disturbed || soleEjections > totalLimit {
-							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejected=%d service=%s total=%d",
+							panic(fmt.Sprintf("too many ejections on the evidence of one node alone: node=%d ejections_in_service=%d service=%s ejections_in_total=%d",
 								lyingNode.slot, count, svc.name, soleEjections))
 						}
 					}
@@ -764,7 +775,7 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_with_several_witnesses=%d wrongly_closed=%v",
+		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_ejections_with_several_witnesses=%d wrongly_closed=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
@@ -780,7 +791,7 @@
 
 // Guards against slow detection of a faulty backend. The test measures the time from the first evidence to the ejection, and the time from the
 // ejection until the connected nodes apply the entry. Faults of one zone's links, and faults that all backends have equally, must eject no backend.
-func TestDetectionTime(t *testing.T) {
+func TestFaultyBackendsAreEjectedInTime(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name         string
@@ -794,26 +805,26 @@
 		caller       int           // Only requests from this zone to backends of other zones are affected. -1: all requests.
 		maxMedian    time.Duration // The limit for the median time to the ejection. 0: no ejection is expected.
 	}{
-		{"one answer in forty lost", 12, smallSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one answer in forty lost", 96, largeSite, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
-		{"one request in forty answered twice", 12, smallSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"one request in forty answered twice", 96, largeSite, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
-		{"all answers without a seal", 12, smallSite, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
-		{"one request in five answered with 5xx", 12, smallSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
-		{"one request in five answered with 5xx", 96, largeSite, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
-		{"nine answers in ten without a seal", 96, largeSite, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
-		{"one answer in ten lost, on links of a zone", 12, smallSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"one answer in ten lost, on links of a zone", 96, largeSite, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
-		{"all backends answer half with 5xx", 12, smallSite, "libro", 1, Strict, ServerError, 0.5, -1, 0},
+		{"small site: one answer in forty is lost", 12, smallSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"large site: one answer in forty is lost", 96, largeSiteServices, "libro", 0.5, Strict, LostAnswer, 1. / 40, -1, 15 * time.Second},
+		{"small site: one request in forty is answered twice", 12, smallSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"large site: one request in forty is answered twice", 96, largeSiteServices, "libro", 0.5, Strict, DuplicateAnswer, 1. / 40, -1, 300 * ms},
+		{"small site: no answer has the header X-Backend-Seal", 12, smallSiteServices, "libro", 1, Strict, MalformedAnswer, 1, -1, time.Second},
+		{"small site: one request in five is answered with 5xx", 12, smallSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 15 * time.Second},
+		{"large site: one request in five is answered with 5xx", 96, largeSiteServices, "libro", 0.5, Strict, ServerError, 0.2, -1, 20 * time.Second},
+		{"large site: nine answers in ten lack X-Backend-Seal", 96, largeSiteServices, "catalogo", 0.5, Patient, MalformedAnswer, 0.9, -1, 15 * time.Second},
+		{"small site: one answer in ten from other zones to zone 2 is lost", 12, smallSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"large site: one answer in ten from other zones to zone 2 is lost", 96, largeSiteServices, "libro", 1, Strict, LostAnswer, 0.1, 2, 0},
+		{"small site: all backends answer half of the requests with 5xx", 12, smallSiteServices, "libro", 1, Strict, ServerError, 0.5, -1, 0},
 	} {
 		var detection, propagation []time.Duration
 		faults, ejections, ejectedKeys, unserved := 0, 0, 0, 0
 		runs := max(1, seedCount(36/tc.nodes))
-		runSeeds(runs, func(seed int64) *simulation {
+		runSimulations(runs, func(seed int64) *simulation {
 			sim := newSimulation(seed, tc.nodes, tc.site())
 			sim.baseErrorRate = 0.004
 			sim.injectFault(tc.service, tc.backendShare, tc.mode, tc.kind, tc.requestShare, tc.caller)
-			sim.run(45 * time.Second)
+			sim.runFor(45 * time.Second)
 			return sim
 		}, func(sim *simulation) {
 			detection, propagation = append(detection, sim.detectionTimes...), append(propagation, sim.propagationTimes...)
@@ -825,7 +836,9 @@
 		})
 		medianDetection, maxDetection := medianAndMax(detection)
 		medianPropagation, maxPropagation := medianAndMax(propagation)
-		t.Logf("%-40s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults=%d ejections=%d keys=%d unserved=%d", tc.name, tc.nodes,
+		t.Logf(
+			"%-70s | nodes=%2d | detection: median %v, max %v | propagation: median %v, max %v | faults_per_run=%d ejections=%d ejected_keys=%d unserved_requests=%d",
+			tc.name, tc.nodes,
 			medianDetection, maxDetection, medianPropagation,
 			maxPropagation, faults/runs, ejections, ejectedKeys, unserved)
 		must.True(t, medianDetection <= tc.maxMedian && (ejections > 0) == (tc.maxMedian > 0), must.Sprint(tc.name))
--- a/internal/gateway/outlier/state.go
+++ b/internal/gateway/outlier/state.go
@@ -11,6 +11,7 @@
 
 // Bounds of the stored state.
 const (
+	// The maximum number of stored ejections.
 	maxEjections = 1024
 	// The maximum number of entries in the history.
 	maxHistory = 256
@@ -24,7 +25,7 @@
 	maxRepeats = 16
 	// The maximum number of witnesses in an Eject entry.
 	maxNamedWitnesses = 8
-	// The number of revisions of the state after which only half of a witness's refutations still count. Each entry raises the revision by one. About
+	// After this number of revisions of the state, only half of a witness's refutations count. Each entry raises the revision by one. About
 	// five ejections with their recoveries take this number of entries.
 	refutationHalvingPeriod = 24
 )
@@ -81,12 +82,12 @@
 	return slices.BinarySearchFunc(s.snapshot.Ejections, k, func(ejection Ejection, k Key) int { return ejection.compare(k) })
 }
 
-// recordRefutation records a refutation of witness w: a backend that was ejected on the evidence of w alone came back into service, and no other
-// node had confirmed the evidence.
-func (s *State) recordRefutation(w Slot) {
-	n := s.refutationCount(w) + 1
-	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == w })
-	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{w, n, s.Revision}), maxTrust)
+// recordRefutation records a refutation of a witness. A refutation means that a backend that was ejected on the evidence of this witness alone
+// came back into service, and that no other node had confirmed the evidence.
+func (s *State) recordRefutation(witness Slot) {
+	n := s.refutationCount(witness) + 1
+	s.snapshot.Trust = slices.DeleteFunc(s.snapshot.Trust, func(t Trust) bool { return t.Witness == witness })
+	s.snapshot.Trust = logentry.KeepLast(append(s.snapshot.Trust, Trust{witness, n, s.Revision}), maxTrust)
 }
 
 // Apply applies an entry if Decide accepts it. It returns the result and the error of Decide.
@@ -108,7 +109,7 @@
 	case Forget:
 		s.snapshot.Ejections = slices.DeleteFunc(s.snapshot.Ejections, func(ejection Ejection) bool { return slices.Contains(e.GoneInstances, ejection.ID) })
 	case Eject:
-		s.eject(e)
+		s.applyEject(e)
 		step = Ejected
 	default:
 		ejection := s.Ejection(e.Key)
@@ -128,8 +129,8 @@
 	return routing.Accepted, nil
 }
 
-// eject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
-func (s *State) eject(e *Entry) {
+// applyEject starts an ejection. If maxEjections ejections are stored, the ejection at oldestInServiceIndex is dropped.
+func (s *State) applyEject(e *Entry) {
 	sole, _ := s.soleWitness(e)
 	i, exists := s.findEjection(e.Key)
 	if !exists {
--- a/internal/gateway/registry/departure_test.go
+++ b/internal/gateway/registry/departure_test.go
@@ -12,13 +12,13 @@
 	f.partitioned[[2]Slot{a, b}], f.partitioned[[2]Slot{b, a}] = true, true
 }
 
-// sendDrainCall has a backend report to a node that the backend is draining. The parameter at is the slot of the node. The
-// results are the answer and whether the node has answered yet.
-func (f *fleet) sendDrainCall(b *backend, at Slot) (a Acknowledge, answered bool) {
+// sendDrainCall has a backend report to the node receiver that the backend is draining. The results are the answer and
+// whether the node has answered yet.
+func (f *fleet) sendDrainCall(b *backend, receiver Slot) (a Acknowledge, answered bool) {
 	b.Seq, b.Phase = b.Seq+1, Draining
-	ticket := f.registries[at].Heartbeat(b.Record)
+	ticket := f.registries[receiver].Heartbeat(b.Record)
 	f.deliverAll()
-	a, answered = f.acks[at][ticket]
+	a, answered = f.acks[receiver][ticket]
 	return a, answered
 }
 
@@ -27,24 +27,25 @@
 // and a node with a disk only its followers. If fewer than MinCopies nodes with a disk are reachable, the call must fail at
 // once, so that the backend calls the next node.
 func TestDepartureNeedsMinCopies(t *testing.T) {
-	for _, at := range []Slot{0, 3} {
+	for _, receiver := range []Slot{0, 3} {
 		f := newFleet(t, 5, 3)
 		b := newBackend(1)
 		f.sendHeartbeat(b, 1)
-		f.advance(time.Second)
-		for _, isolated := range []Slot{at, 0} { // the node itself and the upstream of node 3
+		f.advanceClock(time.Second)
+		for _, isolated := range []Slot{receiver, 0} { // the node that receives the drain call, and node 0, which is the upstream of node 3
 			for _, o := range []Slot{1, 2} {
 				f.partitionNodes(isolated, o)
 			}
 		}
 		f.updateNodes()
-		a, answered := f.sendDrainCall(b, at)
-		must.True(t, answered, must.Sprint("drain call during the partition, at node ", at))
-		must.False(t, a.Confirmed, must.Sprint("drain call during the partition, at node ", at))
+		a, answered := f.sendDrainCall(b, receiver)
+		must.True(t, answered, must.Sprint("a drain call during the partition must be answered at once; the call was sent to node ", receiver))
+		must.False(t, a.Confirmed, must.Sprint("a drain call with too few reachable disks must not be confirmed; the call was sent to node ", receiver))
 		f.partitioned = map[[2]Slot]bool{}
 		f.updateNodes()
-		a, answered = f.sendDrainCall(b, at)
-		must.True(t, answered && a.Confirmed, must.Sprint("drain call after the partition, at node ", at))
+		a, answered = f.sendDrainCall(b, receiver)
+		must.True(t, answered && a.Confirmed,
+			must.Sprint("a drain call after the end of the partition must be confirmed at once; the call was sent to node ", receiver))
 		f.requirePhase(b.ID, Draining)
 	}
 }
@@ -56,19 +57,19 @@
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
 	f.sendHeartbeat(b, 0)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.partitionNodes(0, 2)
 	f.updateNodes()
-	f.partitionNodes(0, 1) // not noticed by any node
+	f.partitionNodes(0, 1) // No node notices this partition.
 	_, answered := f.sendDrainCall(b, 0)
 	must.False(t, answered)
-	f.advance(minCopiesTimeout)
+	f.advanceClock(minCopiesTimeout)
 	for ticket, a := range f.acks[0] {
 		must.True(t, !a.Confirmed || ticket < f.registries[0].lastTicket)
 	}
 	delete(f.partitioned, [2]Slot{0, 1})
 	delete(f.partitioned, [2]Slot{1, 0})
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	a, answered := f.sendDrainCall(b, 0)
 	must.True(t, answered && a.Confirmed)
 }
@@ -82,7 +83,7 @@
 		b := newBackend(1)
 		f.sendHeartbeat(b, 0)
 		f.sendHeartbeat(b, b.target)
-		f.advance(time.Second)
+		f.advanceClock(time.Second)
 		departing := b.Record
 		departing.Seq, departing.Phase, departing.Draining, departing.Owner, departing.LostOwner = b.Seq+1, Draining, true, NoSlot, NoSlot
 		f.registries[registrar].Receive(5, Message{Heartbeats: []Record{departing}})
@@ -96,40 +97,41 @@
 // that one of the two nodes has must reach the other through the third, whichever node receives the call. This also holds for
 // a departure that was in flight when the partition was noticed.
 func TestDeparturesAreRelayedAroundPartition(t *testing.T) {
-	for at := range Slot(6) {
+	for receiver := range Slot(6) {
 		for _, noticed := range []bool{true, false} {
 			for i := range 6 { // backends with different owners
-				requireDrainAroundPartition(t, newBackend(i), at, noticed)
+				requireDrainAroundPartition(t, newBackend(i), receiver, noticed)
 			}
 		}
 	}
 }
 
-// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node with
-// the slot at. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes
-// notice the partition before the call, otherwise after the call.
-func requireDrainAroundPartition(t *testing.T, b *backend, at Slot, noticed bool) {
+// requireDrainAroundPartition partitions nodes 0 and 1 from each other and has the backend send a drain call to the node
+// receiver. All nodes must then know the departure and must stop sending the departure. If noticed is true, the nodes notice
+// the partition before the call. If noticed is false, they notice the partition after the call.
+func requireDrainAroundPartition(t *testing.T, b *backend, receiver Slot, noticed bool) {
 	t.Helper()
 	f := newFleet(t, 6, 3)
 	f.sendHeartbeat(b, 2)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	f.partitionNodes(0, 1)
-	if at == 5 { // Node 5 follows node 0 and also reaches node 2.
+	if receiver == 5 { // Node 5 follows node 0 and also reaches node 2.
 		f.partitionNodes(5, 1)
 	}
 	if noticed {
 		f.updateNodes()
 	}
-	f.sendDrainCall(b, at)
+	f.sendDrainCall(b, receiver)
 	if !noticed {
-		f.advance(600 * ms)
+		f.advanceClock(600 * ms)
 		f.updateNodes()
 	}
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	f.requirePhase(b.ID, Draining)
 	before := f.messages
-	f.advance(5 * heartbeatInterval / 2)
-	must.LessEq(t, before+60, f.messages, must.Sprint("nodes resend a departure that all nodes have; node that received the drain call: ", at))
+	f.advanceClock(5 * heartbeatInterval / 2)
+	must.LessEq(t, before+60, f.messages,
+		must.Sprint("more than 60 messages were sent after all nodes had the departure; the drain call was sent to node ", receiver))
 }
 
 // TestNewFollowerReceivesDepartures guards against a new follower that keeps sending requests to a backend that deregistered
@@ -139,7 +141,7 @@
 	f := newFleet(t, 4, 3)
 	b := newBackend(1)
 	f.sendHeartbeat(b, 1)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	// Node 0 is the upstream of node 3. Node 3 reaches no node for a while.
 	f.partitionNodes(3, 0)
 	for o := range Slot(2) {
@@ -148,11 +150,11 @@
 	f.updateNodes()
 	f.sendDrainCall(b, 1)
 	f.registries[1].Deregister(b.ID)
-	f.advance(time.Second)
+	f.advanceClock(time.Second)
 	must.Eq(t, Ready, f.views[3][b.ID].Phase)
 	f.partitioned = map[[2]Slot]bool{}
 	f.partitionNodes(3, 0)
 	f.updateNodes()
-	f.advance(100 * ms)
+	f.advanceClock(100 * ms)
 	must.Eq(t, Gone, f.views[3][b.ID].Phase)
 }
--- a/internal/gateway/registry/dissemination.go
+++ b/internal/gateway/registry/dissemination.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// batchDelay is how long a non-urgent change is delayed so that several changes fit into one message.
+	// batchDelay is how long a change that is not urgent is delayed, so that one message can carry several changes.
 	batchDelay = 50 * time.Millisecond
 	// maxUpdatesPerMessage limits the records in one message to a few KB, so that a message does not block other frames on a
 	// slow link for long.
@@ -14,18 +14,20 @@
 )
 
 // sendsUpdatesTo reports whether this node sends its updates to a peer. While a node with a disk is live, the node sends
-// updates only to live nodes with a disk and to its followers. Otherwise it sends updates to all live peers.
+// updates only to live nodes with a disk and to its followers. If no node with a disk is live, it sends updates to all live
+// peers.
 func (r *Registry) sendsUpdatesTo(p *peer) bool {
 	return p.node.Live && (!r.hasLiveDisk || p.node.HasDisk || p.node.Follows)
 }
 
 // broadcastRecord enqueues a backend's record for all peers that this node sends updates to. An urgent record is sent at once.
-// Any other record is delayed by at most batchDelay and sent together with other changes.
+// A record that is not urgent is delayed by at most batchDelay and sent together with other changes.
 func (r *Registry) broadcastRecord(e *entry, urgent bool) { r.forwardRecord(e, nil, urgent) }
 
-// forwardRecord enqueues a backend's record for all peers that this node sends updates to, except for the peer "from" that
-// sent the record. If this peer has a disk, it has already sent the record to all other nodes with a disk. The record is
-// then forwarded only to peers without a disk. from is nil if the record did not come from a peer.
+// forwardRecord enqueues a backend's record for the peers that this node sends updates to. The parameter from is the peer
+// that sent the record, or nil if the record did not come from a peer. The record is not sent back to this peer. If this
+// peer has a disk, it has already sent the record to all other nodes with a disk. The record is then forwarded only to peers
+// without a disk.
 func (r *Registry) forwardRecord(e *entry, from *peer, urgent bool) {
 	for _, s := range r.peerSlots {
 		if p := r.peers[s]; p != from && r.sendsUpdatesTo(p) && !(from != nil && from.node.HasDisk && p.node.HasDisk) {
@@ -41,7 +43,7 @@
 	if !urgent {
 		at += batchDelay
 	}
-	r.activate(p)
+	r.addActivePeer(p)
 	if len(p.pendingIDs) == 0 || at < p.sendAt {
 		p.sendAt = at
 	}
@@ -51,12 +53,12 @@
 	}
 }
 
-// relayHeartbeat enqueues the record of a backend as a heartbeat for the node s. A relayed heartbeat that gets lost is not
+// relayHeartbeat enqueues the record of a backend as a heartbeat for the node receiver. A relayed heartbeat that gets lost is not
 // resent, because the backend's next heartbeat replaces it.
-func (r *Registry) relayHeartbeat(e *entry, s Slot) {
-	if p := r.peers[s]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
-		r.activate(p)
-		p.heartbeats = append(p.heartbeats, r.recordOf(e))
+func (r *Registry) relayHeartbeat(e *entry, receiver Slot) {
+	if p := r.peers[receiver]; p != nil && p.node.Live && len(p.heartbeats) < maxUpdatesPerMessage {
+		r.addActivePeer(p)
+		p.heartbeats = append(p.heartbeats, r.currentRecord(e))
 	}
 }
 
@@ -64,7 +66,7 @@
 func (r *Registry) reportSuspicion(e *entry) {
 	e.ownerSince = r.now
 	if p := r.peers[e.record.Owner]; p != nil && p.node.Live && !slices.Contains(p.suspicions, e.record.ID) {
-		r.activate(p)
+		r.addActivePeer(p)
 		p.suspicions = append(p.suspicions, e.record.ID)
 	}
 }
@@ -119,7 +121,7 @@
 	departs := false
 	for _, id := range f.ids {
 		if e := r.entries[id]; e != nil {
-			m.Updates = append(m.Updates, r.recordOf(e))
+			m.Updates = append(m.Updates, r.currentRecord(e))
 			departs = departs || e.departureState() > notDeparting
 		}
 	}
@@ -128,7 +130,7 @@
 	}
 	for _, id := range f.suspicions {
 		if e := r.entries[id]; e != nil {
-			m.Suspicions = append(m.Suspicions, r.recordOf(e))
+			m.Suspicions = append(m.Suspicions, r.currentRecord(e))
 		}
 	}
 }
--- a/internal/gateway/registry/entry.go
+++ b/internal/gateway/registry/entry.go
@@ -21,7 +21,7 @@
 	never = time.Duration(1<<63 - 1)
 )
 
-// entry is the state of one backend. The fields Phase, SlowStartLeft and Age of its record are unused. recordOf computes
+// entry is the state of one backend. The fields Phase, SlowStartLeft and Age of its record are unused. currentRecord computes
 // them.
 type entry struct {
 	record Record
@@ -29,22 +29,23 @@
 	timedOut       bool
 	goneAt         time.Duration // time at which the phase last became Gone
 	firstSeenAt    time.Duration // time at which any node first saw the backend
-	slowStartUntil time.Duration
+	slowStartUntil time.Duration // end of the backend's slow start, 0 if no slow start was reported
 	// Time of the last heartbeat that this node knows of, or of the last change of owner if that is later.
 	lastSeenAt time.Duration
-	// Time at which this node learned of the owner. It is also set when the owner is sent a suspicion, or the next owner is
-	// sent the record.
+	// Time at which this node learned of the owner. The time is set again when the owner is sent a suspicion, or when the
+	// node that should become the owner is sent the record. This delays the next message of this kind.
 	ownerSince time.Duration
 	syncedAt   time.Duration // time of the last update of the backend from Registry.syncSource
 	// Time of the last heartbeat that this node received, from the backend or relayed.
 	lastHeartbeatAt time.Duration
 	// True if the newest known heartbeat came from the backend itself.
 	directHeartbeat bool
-	// Time before which this node does not take over the backend, because another node still reaches its owner.
+	// Time before which this node does not take over the backend. setOwner sets this time when another node has taken the
+	// backend over from this node and this node does not reach the new owner.
 	noTakeoverUntil time.Duration
 	// True if this node timed out the backend by a suspicion that the owner has not confirmed yet.
 	suspected bool
-	// The highest departure state that each node is known to have.
+	// For each other node, the highest departure state of the backend that the node is known to have recorded.
 	notified map[Slot]departureState
 
 	changeQueued       bool          // the entry is in Registry.changedEntries
@@ -56,7 +57,8 @@
 // departureState returns the departure state of the backend.
 func (e *entry) departureState() departureState { return e.record.departureState() }
 
-// phase returns the phase of the backend, without regard to other backends at its address (visiblePhase regards them).
+// phase returns the phase of the backend. It ignores other backends at the same address. visiblePhase takes them into
+// account.
 func (e *entry) phase() Phase {
 	switch {
 	case e.record.Deregistered || e.timedOut:
@@ -91,8 +93,8 @@
 // compareID compares the backend id of an entry with id. The result is -1, 0 or 1, as that of strings.Compare.
 func compareID(e *entry, id string) int { return strings.Compare(e.record.ID, id) }
 
-// recordOf returns the record of an entry with the Phase, SlowStartLeft and Age at the registry's present time.
-func (r *Registry) recordOf(e *entry) Record {
+// currentRecord returns the record of an entry with the Phase, SlowStartLeft and Age at the registry's present time.
+func (r *Registry) currentRecord(e *entry) Record {
 	record := e.record
 	record.Phase = e.phase()
 	record.SlowStartLeft = max(0, e.slowStartUntil-r.now)
--- a/internal/gateway/registry/fullsync.go
+++ b/internal/gateway/registry/fullsync.go
@@ -8,10 +8,10 @@
 const (
 	// maxFullSyncs limits the number of followers that are synced at the same time.
 	maxFullSyncs = 16
-	// departureRetention is the time after the end of a backend during which its departure is still sent to a new follower.
-	// The follower may have been isolated and may still send requests to the backend.
+	// departureRetention is the time after the end of a backend during which the backend's departure is sent to each new
+	// follower. The follower may have been isolated, and may continue to send requests to the backend.
 	departureRetention = 10 * time.Second
-	// fullSyncGrace is the time without an update from the upstream after which a full sync counts as ended.
+	// fullSyncGrace is the time since the last update of a full sync after which the receiver treats the full sync as ended.
 	fullSyncGrace = 3 * time.Second
 	// fullSyncTimeout limits the total duration of a full sync.
 	fullSyncTimeout = 10 * time.Second
@@ -48,20 +48,20 @@
 		return
 	}
 	for _, e := range r.sorted {
-		if r.isIncludedInSync(e, s) {
+		if r.isIncludedInPeerSync(e, s) {
 			r.enqueueUpdate(p, e.record.ID, true)
 		}
 	}
 }
 
-// isIncludedInSync reports whether a backend is part of the sync of a peer that does not follow this node.
-func (r *Registry) isIncludedInSync(e *entry, to Slot) bool {
+// isIncludedInPeerSync reports whether a backend is part of the sync of a peer that does not follow this node.
+func (r *Registry) isIncludedInPeerSync(e *entry, receiver Slot) bool {
 	if r.hasLiveDisk && !r.local.HasDisk {
 		return e.phase() != Gone && e.departureState() > notDeparting
 	}
 	owner := e.record.Owner
-	return owner == r.localSlot || owner == to || e.departureState() > notDeparting ||
-		r.isUnreachable(owner) && r.ownerFor(e, to).Slot == r.localSlot
+	return owner == r.localSlot || owner == receiver || e.departureState() > notDeparting ||
+		r.isUnreachable(owner) && r.ownerFor(e, receiver).Slot == r.localSlot
 }
 
 // enqueueSync queues a follower for a sync of the backends of its zone, ahead of all full syncs, and for a full sync. If
@@ -107,19 +107,19 @@
 		request := r.syncQueue[0]
 		r.syncQueue = r.syncQueue[1:]
 		p := r.peers[request.target]
-		r.activate(p)
+		r.addActivePeer(p)
 		p.syncing, p.fullSyncNext = true, p.fullSyncNext || !request.zoneOnly
 		for _, e := range r.sorted {
-			if r.isRelevantToFollower(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
+			if r.isIncludedInFollowerSync(e) && (!request.zoneOnly || e.record.Zone == p.node.Zone) {
 				r.enqueueUpdate(p, e.record.ID, true)
 			}
 		}
 	}
 }
 
-// isRelevantToFollower reports whether a backend is part of the sync of a follower. Backends that are not gone are part of
+// isIncludedInFollowerSync reports whether a backend is part of the sync of a follower. Backends that are not gone are part of
 // it, and so are backends that departed less than departureRetention ago.
-func (r *Registry) isRelevantToFollower(e *entry) bool {
+func (r *Registry) isIncludedInFollowerSync(e *entry) bool {
 	return e.phase() != Gone || e.departureState() > notDeparting && r.now-e.goneAt < departureRetention
 }
 
--- a/internal/gateway/registry/fullsync_test.go
+++ b/internal/gateway/registry/fullsync_test.go
@@ -45,23 +45,24 @@
 	return c
 }
 
-// takeMessages takes all messages that the node sends now and returns the number of updates in them. The parameter after is
-// the time until the acknowledgement of each message is delivered.
-func (c *upstreamFixture) takeMessages(after time.Duration) (sent int) {
+// takeMessages takes all messages that the node sends now and returns the number of updates in them. The acknowledgement of
+// each message becomes due after ackDelay.
+func (c *upstreamFixture) takeMessages(ackDelay time.Duration) (sent int) {
 	for a, ok := c.registry.Next(); ok; a, ok = c.registry.Next() {
 		if m, isSend := a.(Send); isSend && m.Message.Seq != 0 {
 			sent += len(m.Message.Updates)
 			c.recordsSent[m.Target] += len(m.Message.Updates)
 			c.fullSyncs[m.Target] = c.fullSyncs[m.Target] || m.Message.FullSync
-			c.unacked = append(c.unacked, pendingAck{c.registry.now + after, m.Target, m.Message.Seq})
+			c.unacked = append(c.unacked, pendingAck{c.registry.now + ackDelay, m.Target, m.Message.Seq})
 		}
 	}
 	return sent
 }
 
-// runUntil advances the clock to t. The parameter after is the time until the acknowledgement of each message is delivered.
-func (c *upstreamFixture) runUntil(t time.Duration, after time.Duration) {
-	for now := c.registry.now; now <= t; now += 10 * time.Millisecond {
+// runUntil advances the clock to the time until, in steps of 10 ms. The acknowledgement of each message is delivered after
+// ackDelay.
+func (c *upstreamFixture) runUntil(until time.Duration, ackDelay time.Duration) {
+	for now := c.registry.now; now <= until; now += 10 * time.Millisecond {
 		c.registry.Tick(now)
 		pending := c.unacked
 		c.unacked = nil
@@ -72,7 +73,7 @@
 				c.unacked = append(c.unacked, ack)
 			}
 		}
-		c.takeMessages(after)
+		c.takeMessages(ackDelay)
 	}
 }
 
@@ -183,10 +184,11 @@
 			}
 			c.unacked = append(c.unacked, pendingAck{now, m.Target, m.Message.Seq})
 		}
-		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs had no zone sync queued ahead of them.
+		if len(c.fullSyncs) > maxFullSyncs { // The first full syncs are not checked, because no zone sync was queued ahead of them.
 			must.MapLen(t, followers, inZone)
 			for s := range inZone {
-				must.MapLen(t, backends/zones, inZone[s], must.Sprintf("backends of the own zone that were sent before further full syncs: node=%d time=%v", s, now))
+				must.MapLen(t, backends/zones, inZone[s],
+					must.Sprintf("all backends of a follower's zone must be sent before further full syncs start: follower=%d time=%v", s, now))
 			}
 		}
 		for _, ack := range c.unacked {
--- a/internal/gateway/registry/merge.go
+++ b/internal/gateway/registry/merge.go
@@ -36,11 +36,12 @@
 	e.record.Deregistered = e.record.Deregistered || update.Deregistered
 	e.firstSeenAt = min(e.firstSeenAt, r.now-update.Age)
 	r.setTimedOut(e, before, timedOut)
-	r.enqueueAddrChanges(e)
+	r.enqueueChangesAtAddr(e)
 	return before == Gone && e.phase() != Gone
 }
 
-// mergeDetails applies the fields of an update that the backend reports about itself, except for departures.
+// mergeDetails copies the service, address, zone, generation, capacity and slow start of an update to the entry. The backend
+// reports these values about itself. It also reports its departure, which merge applies.
 func (r *Registry) mergeDetails(e *entry, update Record) {
 	if e.record.Addr != update.Addr {
 		r.reindexAddr(e, update.Addr)
@@ -80,5 +81,5 @@
 // publication.
 func (r *Registry) timeOutBackend(e *entry) {
 	r.setTimedOut(e, e.phase(), true)
-	r.enqueueAddrChanges(e)
+	r.enqueueChangesAtAddr(e)
 }
--- a/internal/gateway/registry/nodes.go
+++ b/internal/gateway/registry/nodes.go
@@ -41,7 +41,7 @@
 			}
 			undelivered = append(undelivered, departures...)
 		}
-		r.updateNodeCounts(n)
+		r.addNodeToCounts(n)
 	}
 	r.preferDiskOwners()
 	r.dropPeersExcept(knownSlots)
@@ -74,9 +74,9 @@
 	return needsSync, undelivered
 }
 
-// updateNodeCounts updates hasKnownDisk, hasLiveDisk and the owner candidates with a known node. Only a live node with a
+// addNodeToCounts updates hasKnownDisk, hasLiveDisk and the owner candidates with a known node. Only a live node with a
 // control address becomes an owner candidate.
-func (r *Registry) updateNodeCounts(n Node) {
+func (r *Registry) addNodeToCounts(n Node) {
 	r.hasKnownDisk = r.hasKnownDisk || n.HasDisk
 	if !n.Live {
 		return
@@ -124,12 +124,12 @@
 	r.answerDecidedCalls()
 }
 
-// isUnreachable reports whether s is another node that is unknown or not live.
-func (r *Registry) isUnreachable(s Slot) bool {
-	if s == r.localSlot {
+// isUnreachable reports whether the given node is another node that is unknown or not live.
+func (r *Registry) isUnreachable(node Slot) bool {
+	if node == r.localSlot {
 		return false
 	}
-	p := r.peers[s]
+	p := r.peers[node]
 	return p == nil || !p.node.Live
 }
 
--- a/internal/gateway/registry/peer.go
+++ b/internal/gateway/registry/peer.go
@@ -56,7 +56,8 @@
 type inFlightMessage struct {
 	seq uint64
 	ids []string
-	// Departure states in the first transmission, by index of ids. An acknowledgement proves that the receiver has them.
+	// Departure states in the first transmission, by index of ids. An acknowledgement proves that the receiver has recorded
+	// these departure states.
 	departures []departureState
 	suspicions []string
 	fullSync   bool
@@ -89,9 +90,9 @@
 	}
 }
 
-// activate adds a peer to Registry.activePeers. Next checks only these peers for messages, so that the cost of an input
-// does not grow with the number of idle peers.
-func (r *Registry) activate(p *peer) {
+// addActivePeer adds a peer to Registry.activePeers. Next checks only the active peers for messages. The cost of a call or a
+// message that this node receives therefore does not grow with the number of idle peers.
+func (r *Registry) addActivePeer(p *peer) {
 	if p.active {
 		return
 	}
@@ -100,8 +101,8 @@
 	r.activePeers = slices.Insert(r.activePeers, at, p.node.Slot)
 }
 
-// deactivateIdle removes idle peers from Registry.activePeers.
-func (r *Registry) deactivateIdle() {
+// removeIdlePeers removes idle peers from Registry.activePeers.
+func (r *Registry) removeIdlePeers() {
 	r.activePeers = slices.DeleteFunc(r.activePeers, func(s Slot) bool {
 		p := r.peers[s]
 		if p == nil {
@@ -139,10 +140,10 @@
 	return resendTimeout << min(f.attempts, maxResendDoublings)
 }
 
-// resendOverdue schedules the resend of messages whose acknowledgement is overdue. If a message has been resent maxResends
+// resendOverdueMessages schedules the resend of messages whose acknowledgement is overdue. If a message has been resent maxResends
 // times, the peer counts as unresponsive. From then on the peer is only sent an empty message as a probe, once in each
 // probeInterval.
-func (r *Registry) resendOverdue(p *peer) {
+func (r *Registry) resendOverdueMessages(p *peer) {
 	for _, f := range p.inFlight {
 		if r.now-f.sentAt < p.ackTimeout(f) {
 			continue
--- a/internal/gateway/registry/publish.go
+++ b/internal/gateway/registry/publish.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// A new backend may use the address of a former backend that this node does not know to be gone. If several backends have
-// the same address, requests therefore see only the backend that was first seen most recently. The other backends at the
-// address are displaced.
+// This file determines which changes of backends are reported to the host (Changed). A new backend may use the address of a
+// former backend, and this node may not know yet that the former backend is gone. If several backends that are not gone have
+// the same address, requests are therefore sent only to the backend with the latest firstSeenAt. The other backends at the
+// address are displaced, which means that they are published with the phase Gone.
 
 // reindexAddr changes the address of an entry and moves the entry in the address index.
 func (r *Registry) reindexAddr(e *entry, addr string) {
@@ -32,9 +33,9 @@
 	}
 }
 
-// enqueueAddrChanges queues an entry, and all entries with the same address, for comparison with their last published
+// enqueueChangesAtAddr queues an entry, and all entries with the same address, for comparison with their last published
 // state.
-func (r *Registry) enqueueAddrChanges(e *entry) {
+func (r *Registry) enqueueChangesAtAddr(e *entry) {
 	r.enqueueChange(e)
 	for _, other := range r.byAddr[e.record.Addr] {
 		r.enqueueChange(other)
@@ -60,8 +61,8 @@
 	return false
 }
 
-// visiblePhase returns the phase of a backend that requests should see. It is Gone for a displaced backend, and for a
-// backend whose service is unknown.
+// visiblePhase returns the phase that is published for a backend. The host applies this phase to requests. The phase is Gone
+// for a displaced backend, and for a backend whose service is unknown.
 func (r *Registry) visiblePhase(e *entry) Phase {
 	if e.record.Service == "" || r.isDisplaced(e) {
 		return Gone
@@ -70,9 +71,9 @@
 }
 
 // publishIfChanged returns a Changed action and true if the backend differs from its last published state, and stores the
-// new state as published. Otherwise it returns false.
+// new state as published. If the backend does not differ, it returns false.
 func (r *Registry) publishIfChanged(e *entry) (Action, bool) {
-	record := r.recordOf(e)
+	record := r.currentRecord(e)
 	record.Phase = r.visiblePhase(e)
 	unchanged := record.Service == e.published.Service && record.Addr == e.published.Addr && record.Zone == e.published.Zone &&
 		record.Generation == e.published.Generation && record.Capacity == e.published.Capacity && record.Phase == e.published.Phase &&
--- a/internal/gateway/registry/receive.go
+++ b/internal/gateway/registry/receive.go
@@ -31,7 +31,7 @@
 		r.handleSuspicion(p, suspicion)
 	}
 	if m.Seq != 0 && len(p.acks) < maxPendingAcks {
-		r.activate(p)
+		r.addActivePeer(p)
 		p.acks = append(p.acks, m.Seq)
 	}
 	r.answerDecidedCalls()
@@ -46,7 +46,7 @@
 	suspected      bool
 	// True if this node owned the backend and the backend was not gone.
 	owned bool
-	// True if this node received a heartbeat of the backend within the time-out.
+	// True if this node received a heartbeat of the backend within the last missedHeartbeats heartbeat intervals.
 	recentHeartbeat bool
 }
 
@@ -57,8 +57,8 @@
 		recentHeartbeat: r.now-e.lastHeartbeatAt < missedHeartbeats*r.config.HeartbeatInterval}
 }
 
-// handleUpdate merges a received record and forwards the record if it changed anything. If this node has newer information,
-// it sends its own record to the sender (correctSender).
+// handleUpdate merges the record of a backend that the peer p sent, and forwards the record if the merge changed the entry. If
+// this node knows newer values than the received record, it sends its own record to p (correctSender).
 func (r *Registry) handleUpdate(p *peer, update Record) {
 	e := r.findOrCreateEntry(update.ID)
 	if e == nil {
@@ -106,9 +106,10 @@
 	}
 }
 
-// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. This
-// happens only if this node still receives the backend's heartbeats. If the backend was taken over from a third node that
-// this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took the backend back.
+// reclaimOwnership takes back a backend that another node took over because the other node no longer reached this node. It
+// takes the backend back only if this node still receives the backend's heartbeats. If the backend was taken over from a
+// third node that this node reaches, reclaimOwnership sends the record to the third node. It reports whether this node took
+// the backend back.
 func (r *Registry) reclaimOwnership(e *entry, from *peer, update *Record, before *priorState) bool {
 	if update.LostOwner == NoSlot || update.FencingToken != e.record.FencingToken || update.Owner != e.record.Owner {
 		return false
@@ -127,9 +128,9 @@
 // correctSender sends the record of a backend to the sender of an outdated update. If the update is an outdated time-out,
 // which other nodes may also have applied, correctSender broadcasts the record.
 func (r *Registry) correctSender(e *entry, from *peer, update *Record, before *priorState) {
-	known := r.recordOf(e)
+	known := r.currentRecord(e)
 	if update.Phase == Gone && known.Phase != Gone && (e.record.Owner == r.localSlot || before.recentHeartbeat) {
-		// Other nodes may also have applied the time-out.
+		// The time-out is outdated, and other nodes may have applied it.
 		r.broadcastRecord(e, true)
 		return
 	}
