--- a/internal/gateway/node/logstream_receiver.go
+++ b/internal/gateway/node/logstream_receiver.go
@@ -205,7 +205,7 @@
 	}
 	s.upstream, s.requestedAt = addr, s.host.Now()
 	s.host.SendStreamRequest(addr, &streamRequest{after: s.host.AppliedIndex(), begins: begins, clock: s.contact.Timestamp(s.host.Now()),
-		receivedChunk: s.incoming.PendingAck(), acceptsChunks: true})
+		receivedChunk: s.incoming.ProgressAck(), acceptsChunks: true})
 }
 
 // tick notices a pause of this process.
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -103,8 +103,9 @@
 	data  []byte // the bytes received so far, from offset 0
 }
 
-// PendingAck returns an acknowledgement for the incomplete blob; nil if no blob is being received.
-func (b *BlobReceiver) PendingAck() *Chunk {
+// ProgressAck returns a Chunk without data that acknowledges the bytes received so far of an incomplete blob. It returns nil if no
+// blob is being received.
+func (b *BlobReceiver) ProgressAck() *Chunk {
 	if b.id.size == 0 {
 		return nil
 	}
