--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -23,7 +23,7 @@
 // Bootstrap writes the first member list to an empty disk, as term 1 and index 1. The member of this disk must be on the list.
 // A repeated call with the same list has no effect. All members on the list must be bootstrapped with the same list.
 func (r *Replica) Bootstrap(members []Member) error {
-	members, clusterID := sortedMembers(members), r.clusterIDForLog(members)
+	members, clusterID := sortedMembers(members), r.clusterIDOfThisLog(members)
 	listed := false
 	for i, m := range members {
 		if m.ID == 0 || i > 0 && members[i-1].ID == m.ID {
@@ -43,7 +43,7 @@
 	r.log.snapshot = Snapshot{Index: 1, Term: 1, Members: members}
 	r.memberConfigs = []memberConfig{{1, members}}
 	r.commitIndex, r.unwrittenSnapshot = 1, true
-	r.requireWrite(2)
+	r.requireWriteFrom(2)
 	r.resetElectionDeadline()
 	return nil
 }
@@ -57,9 +57,9 @@
 	return uint64(hash.Sum32()) | 1 // 0 means no cluster
 }
 
-// clusterIDForLog returns the cluster ID of this replica's log. Each log on a disk has its own cluster ID, so that a replica
+// clusterIDOfThisLog returns the cluster ID of this replica's log. Each log on a disk has its own cluster ID, so that a replica
 // ignores a message that was sent to another log.
-func (r *Replica) clusterIDForLog(members []Member) uint64 {
+func (r *Replica) clusterIDOfThisLog(members []Member) uint64 {
 	id := ClusterIDOf(members)
 	if r.config.LogID == ConfigurationLog || r.hasMutation(shareClusterID) {
 		return id
@@ -131,7 +131,7 @@
 	}
 	r.resetToEmptyDisk()
 	r.unwrittenSnapshot = true
-	r.requireWrite(1)
+	r.requireWriteFrom(1)
 	return true
 }
 
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -34,8 +34,8 @@
 
 // fieldMask returns the bits of the fields that are encoded.
 func (m *Message) fieldMask() (mask uint64) {
-	set := func(bit uint64, is bool) {
-		if is {
+	set := func(bit uint64, isSet bool) {
+		if isSet {
 			mask |= bit
 		}
 	}
--- a/internal/gateway/replication/codec_bench_test.go
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// benchMessages returns the messages that are most frequent on links, and the largest ones that one link message carries.
-func benchMessages() map[string]Message {
+// benchmarkMessages returns the messages that are most frequent on links, and the largest ones that one link message carries.
+func benchmarkMessages() map[string]Message {
 	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
 	data := bytes.Repeat([]byte("entry"), 50)
 	head := Message{Kind: MsgAppend, ClusterID: 41, Recipient: 22, Term: 2, Index: 500, LogTerm: 2, Commit: 499, Seq: 9, ContactAgeMillis: -1}
@@ -23,7 +23,7 @@
 
 // BenchmarkAppendMessage encodes into a buffer that is reused, as a link does.
 func BenchmarkAppendMessage(b *testing.B) {
-	for name, message := range benchMessages() {
+	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
 			buffer := AppendMessage(nil, &message)
 			b.SetBytes(int64(len(buffer)))
@@ -37,7 +37,7 @@
 
 // BenchmarkReadMessage decodes the compact form.
 func BenchmarkReadMessage(b *testing.B) {
-	for name, message := range benchMessages() {
+	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
 			encoded := AppendMessage(nil, &message)
 			b.SetBytes(int64(len(encoded)))
@@ -53,7 +53,7 @@
 
 // BenchmarkGobEncodeMessage encodes as the configuration's log does: with one encoder for each link, so that types are sent once.
 func BenchmarkGobEncodeMessage(b *testing.B) {
-	for name, message := range benchMessages() {
+	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
 			var wire WireMessage // a link allocates it anyway, as a part of the frame
@@ -72,7 +72,7 @@
 
 // BenchmarkGobMessage encodes and decodes, with one encoder and one decoder for all messages.
 func BenchmarkGobMessage(b *testing.B) {
-	for name, message := range benchMessages() {
+	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
 			var wire WireMessage
@@ -95,7 +95,7 @@
 
 // BenchmarkGobEntry encodes and decodes an entry in the form on disk: each entry has its own type description.
 func BenchmarkGobEntry(b *testing.B) {
-	entry := benchMessages()["entries"].Entries[0]
+	entry := benchmarkMessages()["entries"].Entries[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		var stream bytes.Buffer
@@ -111,7 +111,7 @@
 
 // BenchmarkGobSnapshot encodes and decodes a snapshot in the form on disk.
 func BenchmarkGobSnapshot(b *testing.B) {
-	snapshot := benchMessages()["snapshot"].Snapshot
+	snapshot := benchmarkMessages()["snapshot"].Snapshot
 	b.ReportAllocs()
 	for b.Loop() {
 		var stream bytes.Buffer
@@ -127,7 +127,7 @@
 
 // BenchmarkWireMessage converts to the form that gob sends, and back.
 func BenchmarkWireMessage(b *testing.B) {
-	for name, message := range benchMessages() {
+	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -12,16 +12,16 @@
 // committed at the member that reports. No term newer than the reported one may have had a leader before that time. A suspended member
 // reports nothing. What it reports after it resumes is checked against the time of that report.
 
-// advanceTime advances the time of member i to the simulated time, before any other input.
-func (c *cluster) advanceTime(i int) {
-	if c.checksContact {
-		c.members[i].replica.Tick(c.now)
+// advanceTime advances the time of the member at memberIndex to the simulated time, before any other input.
+func (c *cluster) advanceTime(memberIndex int) {
+	if c.checksQuorumContact {
+		c.members[memberIndex].replica.Tick(c.now)
 	}
 }
 
-// checkContact checks the quorum contact that each member reports against the committed entries.
-func (c *cluster) checkContact() {
-	if !c.checksContact {
+// checkQuorumContact checks the quorum contact that each member reports against the committed entries.
+func (c *cluster) checkQuorumContact() {
+	if !c.checksQuorumContact {
 		return
 	}
 	for _, s := range c.members {
@@ -38,13 +38,13 @@
 	}
 }
 
-// withContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps
+// enableQuorumContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps
 // time from starting an election.
-func withContactChecks(c *cluster) *cluster {
+func enableQuorumContactChecks(c *cluster) *cluster {
 	for _, s := range c.members {
 		s.replica.config.ElectionTimeout = time.Hour
 	}
-	c.checksContact = true
+	c.checksQuorumContact = true
 	for range 2 { // the second heartbeat brings back the clocks that the first one sent
 		c.now += time.Second
 		c.sendHeartbeat(0)
@@ -56,7 +56,7 @@
 // contactScenarios check the invariants of quorum contact too.
 var contactScenarios = []scenario{
 	{"a former leader receives late acknowledgements", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
 		c.sendHeartbeat(0)
 		c.deliverAmong([]int{0}, []int{1, 2})
 		late := c.inflight
@@ -67,7 +67,7 @@
 		return c
 	}, []mutation{contactFromAckTime, contactWhileLeading}},
 	{"a follower receives late appends", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		c.sendHeartbeat(0)
 		late := c.inflight
 		c.electAmong(1, 0)
@@ -81,7 +81,7 @@
 		return c
 	}, []mutation{contactFromAppendTime}},
 	{"a new leader that does not know which entries are committed", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
 		c.syncAllWrites(0)
 		c.deliverFromTo(0, 1)
 		c.syncAllWrites(1)
@@ -91,7 +91,7 @@
 		return c
 	}, []mutation{contactBeforeNoOp}},
 	{"a follower that lacks committed entries", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).propose()
 		c.members[0].replica.Propose(2, []byte("y"))
 		c.drainActions(0)
 		c.syncAllWrites(0)
@@ -102,7 +102,7 @@
 		return c
 	}, []mutation{contactBeforeCommit}},
 	{"a partition, an election and a proposal", func(planted mutation) *cluster {
-		return withContactChecks(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
+		return enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
 }
 
@@ -125,9 +125,9 @@
 	return true
 }
 
-// checkContact checks the quorum contact that node i reports against the acknowledged entries, and against the leaders of newer terms.
-func (w *walk) checkContact(i int) {
-	node := w.nodes[i]
+// checkQuorumContact checks the quorum contact that the node at nodeIndex reports against the acknowledged entries, and against the leaders of newer terms.
+func (w *walk) checkQuorumContact(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	if node.replica.role == roleLeader && w.leaderSince[node.replica.term] == 0 {
 		w.leaderSince[node.replica.term] = w.now
 	}
@@ -138,12 +138,12 @@
 	since := w.now - age
 	for n := len(w.acks) - 1; n >= 0 && w.acks[n].time >= since-time.Minute; n-- {
 		if a := w.acks[n]; a.time < since && a.index > node.appliedIndex {
-			w.recordViolation("node %d reports quorum contact at %v but lacks entry %d, which was acknowledged at %v", i, since, a.index, a.time)
+			w.recordViolation("node %d reports quorum contact at %v but lacks entry %d, which was acknowledged at %v", nodeIndex, since, a.index, a.time)
 		}
 	}
 	for ledTerm, at := range w.leaderSince {
 		if ledTerm > term && at < since {
-			w.recordViolation("node %d reports quorum contact at %v in term %d, but term %d already had a leader at %v", i, since, term, ledTerm, at)
+			w.recordViolation("node %d reports quorum contact at %v in term %d, but term %d already had a leader at %v", nodeIndex, since, term, ledTerm, at)
 		}
 	}
 }
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -22,12 +22,12 @@
 	recipient MemberID
 }
 
-// requireWrite records that the replica's state must be written to disk. A `from` above 0 means that the entries from this index
-// on must be written. With `from` 0, only the term, vote, commit index and snapshot are written.
-func (r *Replica) requireWrite(from uint64) {
+// requireWriteFrom records that the replica's state must be written to disk. A firstIndex above 0 means that the entries from this index
+// on must be written. With firstIndex 0, only the term, vote, commit index and snapshot are written.
+func (r *Replica) requireWriteFrom(firstIndex uint64) {
 	r.writeNeeded = true
-	if from > 0 && (r.unwrittenFromIndex == 0 || from < r.unwrittenFromIndex) {
-		r.unwrittenFromIndex = from
+	if firstIndex > 0 && (r.unwrittenFromIndex == 0 || firstIndex < r.unwrittenFromIndex) {
+		r.unwrittenFromIndex = firstIndex
 	}
 }
 
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -53,7 +53,7 @@
 	r.maxSeenTerm = max(r.maxSeenTerm, term)
 	r.role, r.leaderID = roleFollower, 0
 	r.matchIndex, r.readSeq, r.ackedReadSeq, r.leaderClock = 0, 0, 0, 0
-	r.requireWrite(0)
+	r.requireWriteFrom(0)
 }
 
 // startPreVote asks the other members whether they have lost the leader too. Without a pre-vote, a partitioned member would
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -28,7 +28,7 @@
 	currentMembers []Member               // the newest committed member list
 	configBases    map[logPosition]uint64 // by term and index of a member list: the commit index of its leader when it appended the list
 
-	checksContact bool // enables now and checkContact: see contact_test.go
+	checksQuorumContact bool // enables now and checkQuorumContact: see contact_test.go
 	// now is the simulated time. It stays 0 unless contact is checked.
 	now         time.Duration
 	committedAt []time.Duration // when each entry of committed was first committed
@@ -75,20 +75,20 @@
 	HeartbeatInterval: time.Hour, RetransmitTimeout: 1}
 
 // newCluster returns a bootstrapped cluster whose first member leads term 2. The spares are further nodes, with empty disks.
-func newCluster(members, spares int, planted mutation, budget stepBudget) *cluster {
-	return newClusterForLog(ConfigurationLog, members, spares, planted, budget)
+func newCluster(memberCount, spareCount int, planted mutation, budget stepBudget) *cluster {
+	return newClusterForLog(ConfigurationLog, memberCount, spareCount, planted, budget)
 }
 
 // newClusterForLog is newCluster for one of several logs on the same disks.
-func newClusterForLog(log LogID, members, spares int, planted mutation, budget stepBudget) *cluster {
+func newClusterForLog(log LogID, memberCount, spareCount int, planted mutation, budget stepBudget) *cluster {
 	c := &cluster{budget: budget, mutation: planted, config: timelessConfig, configBases: map[logPosition]uint64{}}
 	c.config.LogID, c.config.TestingKnobs = log, knobsFor(planted)
-	for i := range members + spares {
+	for i := range memberCount + spareCount {
 		c.members = append(c.members, &simMember{disk: PersistentState{ID: MemberID(i + 1)}})
 		c.start(i)
 	}
 	var memberList []Member
-	for _, s := range c.members[:members] {
+	for _, s := range c.members[:memberCount] {
 		memberList = append(memberList, s.replica.self)
 	}
 	c.currentMembers = memberList
@@ -107,12 +107,12 @@
 	return c
 }
 
-// start starts member i with what its disk has. Writes that were not synced are lost.
-func (c *cluster) start(i int) {
-	s := c.members[i]
+// start starts the member at memberIndex with what its disk has. Writes that were not synced are lost.
+func (c *cluster) start(memberIndex int) {
+	s := c.members[memberIndex]
 	s.writes, s.down = nil, false
-	s.replica = New(Member{s.disk.ID, fmt.Sprint("node", i)}, s.disk, c.config, 1, 0)
-	c.drainActions(i)
+	s.replica = New(Member{s.disk.ID, fmt.Sprint("node", memberIndex)}, s.disk, c.config, 1, 0)
+	c.drainActions(memberIndex)
 }
 
 // recordViolation records a violation of an invariant, if it is the first one.
@@ -122,10 +122,10 @@
 	}
 }
 
-// drainActions carries out the actions of member i. It checks that applied entries and restored state agree between members, that
+// drainActions carries out the actions of the member at memberIndex. It checks that applied entries and restored state agree between members, that
 // a term has at most one leader, and that a leader has all committed entries.
-func (c *cluster) drainActions(i int) {
-	s := c.members[i]
+func (c *cluster) drainActions(memberIndex int) {
+	s := c.members[memberIndex]
 	if latest := s.replica.latestConfig(); s.replica.role == roleLeader && latest.index > s.replica.commitIndex {
 		if term, _ := s.replica.log.termAt(latest.index); term == s.replica.term && c.configBases[logPosition{term, latest.index}] == 0 {
 			c.configBases = maps.Clone(c.configBases)
@@ -139,7 +139,7 @@
 		case Write:
 			s.writes = append(s.writes, a)
 		case Commit:
-			c.checkCommit(i, a.Entry)
+			c.checkCommit(memberIndex, a.Entry)
 		case Restore:
 			if all := c.hostStateAt(a.Index); string(a.State) != all {
 				c.recordViolation("member %d restored state %q at index %d, want %q", s.disk.ID, a.State, a.Index, all)
@@ -170,9 +170,9 @@
 	return disk.Snapshot.Index >= e.Index || offset < uint64(len(disk.Entries)) && isSameEntry(disk.Entries[offset], e)
 }
 
-// checkCommit checks an entry that member i applied: all members must apply the same entry at an index, and the entry must be on
+// checkCommit checks an entry that the member at memberIndex applied: all members must apply the same entry at an index, and the entry must be on
 // the disks of a majority. Disks that were wiped since count too.
-func (c *cluster) checkCommit(i int, e Entry) {
+func (c *cluster) checkCommit(memberIndex int, e Entry) {
 	if position := e.Index - 2; position < uint64(len(c.committed)) {
 		if !isSameEntry(c.committed[position], e) {
 			c.recordViolation("index %d: the entry committed first has term %d, a different entry of term %d was committed later",
@@ -184,7 +184,7 @@
 	if e.Kind == EntryConfigChange {
 		c.checkMemberList(e)
 	}
-	if !hasMajority(c.members[i].replica.Members(), func(id MemberID) bool {
+	if !hasMajority(c.members[memberIndex].replica.Members(), func(id MemberID) bool {
 		diskHas := func(k PersistentState) bool { return k.ID == id && hasEntry(k, e) }
 		memberHas := func(s *simMember) bool { return diskHas(s.disk) }
 		return slices.ContainsFunc(c.wipedDisks, diskHas) || slices.ContainsFunc(c.members, memberHas)
@@ -202,11 +202,11 @@
 	return state
 }
 
-// compact makes member i compact its log up to its commit index.
-func (c *cluster) compact(i int) {
-	replica := c.members[i].replica
+// compact makes the member at memberIndex compact its log up to its commit index.
+func (c *cluster) compact(memberIndex int) {
+	replica := c.members[memberIndex].replica
 	replica.Compact(replica.commitIndex, []byte(c.hostStateAt(replica.commitIndex)))
-	c.drainActions(i)
+	c.drainActions(memberIndex)
 }
 
 // checkMemberList checks a member list that was committed. From then on any members may be lost, as many as the list's size tolerates. So
@@ -226,15 +226,15 @@
 	}
 }
 
-// syncNextWrite completes the oldest pending write of member i.
-func (c *cluster) syncNextWrite(i int) {
-	s := c.members[i]
+// syncNextWrite completes the oldest pending write of the member at memberIndex.
+func (c *cluster) syncNextWrite(memberIndex int) {
+	s := c.members[memberIndex]
 	s.disk.Apply(s.writes[0])
 	seq := s.writes[0].Seq
 	s.writes = s.writes[1:]
-	c.advanceTime(i)
+	c.advanceTime(memberIndex)
 	s.replica.ReportSynced(seq)
-	c.drainActions(i)
+	c.drainActions(memberIndex)
 }
 
 // deliver delivers the message at a position of inflight. The message is lost if no running member has the recipient's address.
@@ -253,15 +253,15 @@
 	}
 }
 
-// sendHeartbeat makes member i send a heartbeat to all others.
-func (c *cluster) sendHeartbeat(i int) {
-	c.advanceTime(i)
-	if !c.checksContact {
+// sendHeartbeat makes the member at memberIndex send a heartbeat to all others.
+func (c *cluster) sendHeartbeat(memberIndex int) {
+	c.advanceTime(memberIndex)
+	if !c.checksQuorumContact {
 		// RetransmitTimeout passes: chunks that nobody acknowledged are sent again.
-		c.members[i].replica.now++
+		c.members[memberIndex].replica.now++
 	}
-	c.members[i].replica.broadcastHeartbeat()
-	c.drainActions(i)
+	c.members[memberIndex].replica.broadcastHeartbeat()
+	c.drainActions(memberIndex)
 }
 
 // deliverAll completes all writes and delivers all messages in order, until none is left.
@@ -293,8 +293,8 @@
 // forEachNextStep calls visit with each step that can come next. A message that is not delivered stands for one that is lost or delayed.
 func (c *cluster) forEachNextStep(visit func(description string, step func(*cluster))) {
 	for n, m := range c.inflight {
-		key := string(m.appendKey(nil, c.checksContact))
-		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksContact)) == key }) {
+		key := string(m.appendKey(nil, c.checksQuorumContact))
+		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksQuorumContact)) == key }) {
 			message := m.send.Message
 			description := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, message.Kind, message.Term, message.Index)
 			visit(description, func(next *cluster) { next.deliver(n) })
@@ -356,20 +356,22 @@
 	}
 }
 
-// stop stops member i. Its disk keeps the writes that were synced.
-func (c *cluster) stop(i int) { c.members[i].down, c.members[i].writes = true, nil }
+// stop stops the member at memberIndex. Its disk keeps the writes that were synced.
+func (c *cluster) stop(memberIndex int) {
+	c.members[memberIndex].down, c.members[memberIndex].writes = true, nil
+}
 
-// forEachReplacement calls visit with each replacement that leader i can begin: any running node that is no member, for any member that has
+// forEachReplacement calls visit with each replacement that the leader at leaderIndex can begin: any running node that is no member, for any member that has
 // stopped.
-func (c *cluster) forEachReplacement(i int, visit func(description string, step func(*cluster))) {
-	leader := c.members[i].replica
+func (c *cluster) forEachReplacement(leaderIndex int, visit func(description string, step func(*cluster))) {
+	leader := c.members[leaderIndex].replica
 	for _, in := range c.members {
 		for _, out := range c.members {
 			if newMember, lostID := in.replica.self, out.replica.self.ID; !in.down && out.down && !leader.isMember(newMember.ID) && leader.isMember(lostID) {
 				visit(fmt.Sprintf("leader %d replaces: new member %d, lost member %d", leader.self.ID, newMember.ID, lostID), func(next *cluster) {
 					next.budget.replacements--
-					next.members[i].replica.AddMember(newMember, lostID)
-					next.drainActions(i)
+					next.members[leaderIndex].replica.AddMember(newMember, lostID)
+					next.drainActions(leaderIndex)
 				})
 			}
 		}
@@ -377,9 +379,9 @@
 }
 
 // replaceMember stops a member and lets the first member replace it by another node, until the new member list is committed.
-func (c *cluster) replaceMember(lost, spare int) *cluster {
-	c.stop(lost)
-	c.members[0].replica.AddMember(c.members[spare].replica.self, c.members[lost].disk.ID)
+func (c *cluster) replaceMember(lostIndex, spareIndex int) *cluster {
+	c.stop(lostIndex)
+	c.members[0].replica.AddMember(c.members[spareIndex].replica.self, c.members[lostIndex].disk.ID)
 	c.drainActions(0)
 	c.deliverAll()
 	c.sendHeartbeat(0)
@@ -387,14 +389,14 @@
 	return c
 }
 
-// wipeDisk restarts member i with an empty disk, which has a new member ID. With the mutation countWipedDisk it keeps its ID.
-func (c *cluster) wipeDisk(i int) {
-	s := c.members[i]
+// wipeDisk restarts the member at memberIndex with an empty disk, which has a new member ID. With the mutation countWipedDisk it keeps its ID.
+func (c *cluster) wipeDisk(memberIndex int) {
+	s := c.members[memberIndex]
 	c.wipedDisks = append(slices.Clone(c.wipedDisks), s.disk)
 	if s.disk = (PersistentState{ID: s.disk.ID + 10}); c.mutation == countWipedDisk {
 		s.disk.ID -= 10
 	}
-	c.start(i)
+	c.start(memberIndex)
 }
 
 // clone returns a copy on which steps can be taken without a change to the original. Slices that are only appended to are clipped, not
@@ -475,7 +477,7 @@
 				if o := q.transfer.sender; o.Blob != nil {
 					b = appendUvarints(o.Blob.id.newChunk(0, nil).appendKey(b), o.ackedBytes, o.sentBytes, o.retransmittedFrom, uint64(r.now-o.lastProgressAt))
 				}
-				if c.checksContact {
+				if c.checksQuorumContact {
 					b = appendUvarints(b, uint64(q.lastReceivedClock), uint64(q.lastContactAt))
 				}
 			}
@@ -483,7 +485,7 @@
 				b = appendUvarints(b, q.term, q.index)
 			}
 		}
-		if c.checksContact {
+		if c.checksQuorumContact {
 			b = appendUvarints(b, uint64(r.leaderClock), uint64(r.quorumContact.lastContactAt), r.quorumContact.term)
 		}
 		b = appendEntriesKey(appendUvarints(b, s.disk.Term, uint64(s.disk.Vote), s.disk.Commit), s.disk.Entries)
@@ -493,7 +495,7 @@
 	}
 	var flight []string
 	for _, f := range c.inflight {
-		flight = append(flight, string(f.appendKey(nil, c.checksContact)))
+		flight = append(flight, string(f.appendKey(nil, c.checksQuorumContact)))
 	}
 	slices.Sort(flight)
 	b = append(b, fmt.Sprint(c.budget, c.now, c.committedAt)...)
@@ -526,7 +528,7 @@
 				}()
 				step(c)
 				c.removeStaleMessages()
-				c.checkContact()
+				c.checkQuorumContact()
 			}()
 			if c.violation != "" {
 				violation = c.violation + c.trace.String()
@@ -543,19 +545,19 @@
 	return len(visited), violation
 }
 
-// electAmong makes member i start an election in which only the given other members vote. All messages to others are lost.
-func (c *cluster) electAmong(i int, voters ...int) {
-	c.members[i].replica.startElection()
-	c.drainActions(i)
-	c.syncNextWrite(i)
-	c.deliverAmong([]int{i}, voters)
+// electAmong makes the member at candidateIndex start an election in which only the given other members vote. All messages to others are lost.
+func (c *cluster) electAmong(candidateIndex int, voters ...int) {
+	c.members[candidateIndex].replica.startElection()
+	c.drainActions(candidateIndex)
+	c.syncNextWrite(candidateIndex)
+	c.deliverAmong([]int{candidateIndex}, voters)
 	c.syncAllWrites(voters...)
-	c.deliverAmong(voters, []int{i})
-	if c.members[i].replica.role == roleCandidate { // another member has a newer log, which the candidate fetches
-		c.deliverAmong([]int{i}, voters)
-		c.deliverAmong(voters, []int{i})
+	c.deliverAmong(voters, []int{candidateIndex})
+	if c.members[candidateIndex].replica.role == roleCandidate { // another member has a newer log, which the candidate fetches
+		c.deliverAmong([]int{candidateIndex}, voters)
+		c.deliverAmong(voters, []int{candidateIndex})
 	}
-	c.syncNextWrite(i)
+	c.syncNextWrite(candidateIndex)
 }
 
 // syncAllWrites completes all pending writes of the given members.
@@ -597,9 +599,9 @@
 	return c
 }
 
-// commitOnFirstTwo commits an entry for each data on the first two members, which then compact their logs. All messages to the third
+// commitOnFirstTwoMembers commits an entry for each data on the first two members, which then compact their logs. All messages to the third
 // member are lost.
-func (c *cluster) commitOnFirstTwo(all ...string) *cluster {
+func (c *cluster) commitOnFirstTwoMembers(all ...string) *cluster {
 	for _, data := range all {
 		c.members[0].replica.Propose(1, []byte(data))
 		for range 3 {
@@ -723,28 +725,28 @@
 		return c
 	}, []mutation{countStaleAcks}},
 	{"a snapshot in chunks", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{crashes: 1, heartbeats: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c := newCluster(3, 0, planted, stepBudget{crashes: 1, heartbeats: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwoMembers("a", "b", "c")
 		c.sendHeartbeat(0)
 		c.deliverFromTo(0, 2)
 		c.deliverFromTo(2, 0)
 		return c
 	}, []mutation{skipChunks, installPartial}},
 	{"a newer snapshot during a transfer", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, proposals: 1, compactions: 1, crashes: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, proposals: 1, compactions: 1, crashes: 1}).withSmallChunks().commitOnFirstTwoMembers("a", "b", "c")
 		c.sendHeartbeat(0)
 		c.deliverFromTo(0, 2)
 		c.deliverFromTo(2, 0)
 		return c
 	}, []mutation{installPartial}},
 	{"a new leader with a newer snapshot during a transfer", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+		c := newCluster(3, 0, planted, stepBudget{heartbeats: 1, crashes: 1, duplicates: 1}).withSmallChunks().commitOnFirstTwoMembers("a", "b", "c")
 		c.sendHeartbeat(0)
 		c.deliverFromTo(0, 2)
 		c.deliverFromTo(2, 0)
 		// The third member has one chunk. Another chunk of the former leader is in flight.
 		c.deliver(0)
 		late := c.inflight
-		c.commitOnFirstTwo("d")
+		c.commitOnFirstTwoMembers("d")
 		c.electAmong(1, 0)
 		c.inflight = append(c.inflight, late...)
 		return c
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -28,9 +28,9 @@
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
 // newSharedDisk returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
-func newSharedDisk(logs int, planted mutation, start sharedScenario) *sharedDisk {
+func newSharedDisk(logCount int, planted mutation, start sharedScenario) *sharedDisk {
 	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: start.budget, mutation: planted}
-	for log := range logs {
+	for log := range logCount {
 		s.logs = append(s.logs, newClusterForLog(LogID(log), 3, 0, planted, stepBudget{}))
 	}
 	for i := range s.queues {
@@ -61,33 +61,34 @@
 	}
 }
 
-// finishWrite completes the transaction of node i on disk. If notified is true, the writes are reported to the replicas by ReportSynced.
-func (s *sharedDisk) finishWrite(i int, notified bool) {
-	batch := s.writing[i]
-	s.writing[i] = nil
+// finishWrite completes the transaction of the node at nodeIndex on disk. If reportSynced is true, it also reports the writes
+// to the replicas by ReportSynced.
+func (s *sharedDisk) finishWrite(nodeIndex int, reportSynced bool) {
+	batch := s.writing[nodeIndex]
+	s.writing[nodeIndex] = nil
 	for _, w := range batch {
-		s.logs[w.Log].members[i].disk.Apply(w.Write)
+		s.logs[w.Log].members[nodeIndex].disk.Apply(w.Write)
 	}
 	for _, w := range batch {
-		if notified {
+		if reportSynced {
 			c := s.logs[w.Log]
-			c.members[i].replica.ReportSynced(w.Write.Seq)
-			c.drainActions(i)
+			c.members[nodeIndex].replica.ReportSynced(w.Write.Seq)
+			c.drainActions(nodeIndex)
 		}
 	}
-	if notified && s.mutation == syncOtherLog {
-		for log, w := range s.queues[i].pending {
-			s.logs[log].members[i].replica.ReportSynced(w.Seq)
-			s.logs[log].drainActions(i)
+	if reportSynced && s.mutation == syncOtherLog {
+		for log, w := range s.queues[nodeIndex].pending {
+			s.logs[log].members[nodeIndex].replica.ReportSynced(w.Seq)
+			s.logs[log].drainActions(nodeIndex)
 		}
 	}
 }
 
-// restart starts node i again with what its disk has.
-func (s *sharedDisk) restart(i int) {
-	s.queues[i], s.writing[i] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
+// restart starts the node at nodeIndex again with what its disk has.
+func (s *sharedDisk) restart(nodeIndex int) {
+	s.queues[nodeIndex], s.writing[nodeIndex] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, c := range s.logs {
-		c.start(i)
+		c.start(nodeIndex)
 	}
 }
 
@@ -193,8 +194,8 @@
 	return maphash.Bytes(hashSeed, b)
 }
 
-// exploreShared is explore for several logs on the same disks.
-func exploreShared(s *sharedDisk, limit int) (seen int, violation string) {
+// exploreSharedDisk is explore for several logs on the same disks.
+func exploreSharedDisk(s *sharedDisk, limit int) (seen int, violation string) {
 	s.beginWrites()
 	visited := map[uint64]bool{s.stateKey(): true}
 	for queue := []*sharedDisk{s}; len(queue) > 0 && len(visited) < limit && violation == ""; {
@@ -230,7 +231,7 @@
 	return len(visited), violation
 }
 
-// sharedScenario is a state from which exploreShared takes all possible steps, and the budget of these steps.
+// sharedScenario is a state from which exploreSharedDisk takes all possible steps, and the budget of these steps.
 type sharedScenario struct {
 	name    string
 	prepare func(*sharedDisk)
@@ -296,7 +297,7 @@
 		t.Run(start.name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			seen, violation := exploreShared(newSharedDisk(2, noMutation, start), limit)
+			seen, violation := exploreSharedDisk(newSharedDisk(2, noMutation, start), limit)
 			must.Eq(t, "", violation)
 			t.Logf("explored %d states in %v", seen, time.Since(began))
 		})
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -71,7 +71,7 @@
 func (r *Replica) appendInCurrentTerm(e Entry) uint64 {
 	e.Index, e.Term = r.log.lastIndex()+1, r.term
 	r.appendEntry(e)
-	r.requireWrite(e.Index)
+	r.requireWriteFrom(e.Index)
 	if e.Kind == EntryConfigChange {
 		r.trackMembers()
 	}
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -125,7 +125,7 @@
 		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
 	}
 	r.lowerSyncedIndex(index - 1)
-	r.requireWrite(index)
+	r.requireWriteFrom(index)
 }
 
 // appendAfter appends the entries of a newer log, given that both logs are equal up to prevIndex. It removes own entries only from
@@ -146,7 +146,7 @@
 			}
 			r.truncateFrom(e.Index)
 		}
-		r.requireWrite(e.Index)
+		r.requireWriteFrom(e.Index)
 		for _, e := range entries[i:] {
 			r.appendEntry(e)
 		}
@@ -168,7 +168,7 @@
 		if e.Kind == EntryConfigChange {
 			// The commit index is written to disk. After a restart, this member then needs only the majority of the new list, even
 			// if the other members that knew of the commit are gone.
-			r.requireWrite(0)
+			r.requireWriteFrom(0)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	term, _ := r.log.termAt(index)
 	r.log.compact(Snapshot{Index: index, Term: term, Members: r.memberConfigs[0].members, State: state}, r.config.TrailingBytes)
 	r.unwrittenSnapshot = true
-	r.requireWrite(0)
+	r.requireWriteFrom(0)
 }
 
 // FirstIndex returns the index of the oldest entry that EntriesAfter can return.
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -40,11 +40,11 @@
 	return len(w.nodes) - 1
 }
 
-// stop ends the process of node i. The node may be started again.
-func (w *walk) stop(i int) {
-	w.nodes[i].formerMember, w.nodes[i].stoppedAt = Member{w.nodes[i].disk.ID, fmt.Sprint("node", i)}, w.now
-	w.nodes[i].replica, w.nodes[i].draining = nil, false
-	w.nodes[i].incarnation++
+// stop ends the process of the node at nodeIndex. The node may be started again.
+func (w *walk) stop(nodeIndex int) {
+	w.nodes[nodeIndex].formerMember, w.nodes[nodeIndex].stoppedAt = Member{w.nodes[nodeIndex].disk.ID, fmt.Sprint("node", nodeIndex)}, w.now
+	w.nodes[nodeIndex].replica, w.nodes[nodeIndex].draining = nil, false
+	w.nodes[nodeIndex].incarnation++
 }
 
 // toleranceViolation checks, while no change of members is under way, that any members may be lost next, up to the number
@@ -195,12 +195,12 @@
 	}
 }
 
-// shutDownGracefully ends node i as a draining node ends: once the other members have all entries that it has, or after 5 s.
-func (w *walk) shutDownGracefully(i int) {
-	node := w.nodes[i]
+// shutDownGracefully ends the node at nodeIndex as a draining node ends: once the other members have all entries that it has, or after 5 s.
+func (w *walk) shutDownGracefully(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	node.draining = true
 	for end := w.now + 5*time.Second; w.now < end && node.replica != nil && w.violation == ""; {
-		w.actionOnNode(i, func(node *simNode) {
+		w.actionOnNode(nodeIndex, func(node *simNode) {
 			if node.replica.IsLeader() {
 				node.replica.TransferLeadership()
 			}
@@ -210,7 +210,7 @@
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
-	w.stop(i)
+	w.stop(nodeIndex)
 }
 
 // Guards against a cluster that does not tolerate further losses in time. After each kind of replacement, the same number of members may be
@@ -222,7 +222,7 @@
 // drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the
 // draining member have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the
 // leader was once the disk works again.
-func drainWithSlowDisk(t *testing.T, planted mutation) (atOnce, afterSync bool) {
+func drainWithSlowDisk(t *testing.T, planted mutation) (mayStopAtOnce, mayStopAfterSync bool) {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
 	w.faultless = true
@@ -238,11 +238,11 @@
 	must.Eq(t, 1, w.ackedProposals)
 	for _, i := range []int{leader, (leader + 2) % 3} { // the two members that have the entry on disk
 		replica := w.nodes[i].replica
-		atOnce = atOnce || replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
+		mayStopAtOnce = mayStopAtOnce || replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 	}
 	w.runUntil(w.now + 2200*time.Millisecond)
 	replica := w.nodes[leader].replica
-	return atOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
+	return mayStopAtOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 }
 
 // Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member
@@ -378,6 +378,6 @@
 
 // Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up
 // allows after its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
-func TestLostMemberIsReplacedWithinCatchUp(t *testing.T) {
+func TestLostMemberIsReplacedWithinCatchUpTime(t *testing.T) {
 	must.Eq(t, "", loseLeaderAfterReplacement(t, noMutation))
 }
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -90,7 +90,7 @@
 		t.Run(planted.String(), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			seen, violation := exploreShared(newSharedDisk(2, planted, sharedScenarios[index]), 60_000)
+			seen, violation := exploreSharedDisk(newSharedDisk(2, planted, sharedScenarios[index]), 60_000)
 			must.NotEq(t, "", violation, must.Sprintf("mutation not detected in %d states", seen))
 			t.Logf("detected after %v in %d states: %s", time.Since(began), seen, violation)
 		})
@@ -98,13 +98,13 @@
 }
 
 // requireMutationsDetected requires that each mutation is detected within a number of walks.
-func requireMutationsDetected(t *testing.T, run func(*testing.T, int64, mutation) *walk, walks int64, mutations ...mutation) {
+func requireMutationsDetected(t *testing.T, run func(*testing.T, int64, mutation) *walk, walkCount int64, mutations ...mutation) {
 	t.Helper()
 	for _, planted := range mutations {
 		t.Run(planted.String(), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			for seed := range walks {
+			for seed := range walkCount {
 				if w := run(t, seed, planted); w.violation != "" {
 					t.Log("seed", seed, time.Since(began), w.violation)
 					return
@@ -138,7 +138,7 @@
 // Guards against a check that overlooks a snapshot transfer which starts over at each compaction.
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
-	c := newCluster(3, 0, abandonTransfer, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
+	c := newCluster(3, 0, abandonTransfer, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers(state...)
 	bytes, _, caughtUp := catchUpThirdMember(c, 400)
 	must.True(t, !caughtUp || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
 }
@@ -157,7 +157,7 @@
 }
 
 // Guards against a check that overlooks a replacement which is delayed until the loss is detected.
-func TestLostMemberIsReplacedWithinCatchUpFindsMutation(t *testing.T) {
+func TestLostMemberIsReplacedWithinCatchUpTimeFindsMutation(t *testing.T) {
 	must.StrContains(t, loseLeaderAfterReplacement(t, lostFromDetection), "no proposal was committed within 5 s")
 }
 
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -213,6 +213,6 @@
 	r.commitIndex = s.Index
 	r.lowerSyncedIndex(0)
 	r.unwrittenSnapshot = true
-	r.requireWrite(s.Index + 1)
+	r.requireWriteFrom(s.Index + 1)
 	r.actions = append(r.actions, Restore{s.Index, s.State})
 }
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -55,7 +55,7 @@
 // its start: with one compaction for each message, the member never caught up.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
-	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo(state...)
+	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers(state...)
 	bytes, restores, caughtUp := catchUpThirdMember(c, 400)
 	must.Eq(t, "", c.violation)
 	must.True(t, caughtUp)
@@ -67,7 +67,7 @@
 // Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an
 // election itself: a large message would delay all others on the link, and a candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
-	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwo("a", "b", "c")
+	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers("a", "b", "c")
 	c.members[2].replica.startElection()
 	c.drainActions(2)
 	for range 2 { // first the vote, then the request for the voter's log
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -77,32 +77,32 @@
 }
 
 // randomDelay returns a random duration of at most n milliseconds.
-func (w *walk) randomDelay(n int) time.Duration {
-	return time.Duration(w.rng.Intn(n*1000)+1) * time.Microsecond
+func (w *walk) randomDelay(maxMillis int) time.Duration {
+	return time.Duration(w.rng.Intn(maxMillis*1000)+1) * time.Microsecond
 }
 
-// start starts node i with what its disk has.
-func (w *walk) start(i int) {
-	node := w.nodes[i]
+// start starts the node at nodeIndex with what its disk has.
+func (w *walk) start(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	node.incarnation++
 	node.appliedIndex, node.hostState, node.writeDoneAt, node.deadline = 0, "", 0, never
 	node.diskBeforeLastWrite, node.lastWrite = node.disk, Write{}
-	node.replica = New(Member{node.disk.ID, fmt.Sprint("node", i)}, node.disk, w.config, w.rng.Int63(), w.now)
-	w.drainActions(i)
+	node.replica = New(Member{node.disk.ID, fmt.Sprint("node", nodeIndex)}, node.disk, w.config, w.rng.Int63(), w.now)
+	w.drainActions(nodeIndex)
 }
 
-// startEmpty starts node i with an empty disk and a new member ID.
-func (w *walk) startEmpty(i int) {
+// startEmpty starts the node at nodeIndex with an empty disk and a new member ID.
+func (w *walk) startEmpty(nodeIndex int) {
 	w.lastMemberID++
-	w.nodes[i].disk = PersistentState{ID: w.lastMemberID}
-	w.start(i)
+	w.nodes[nodeIndex].disk = PersistentState{ID: w.lastMemberID}
+	w.start(nodeIndex)
 }
 
-// crashFor crashes node i and calls then for it after a delay.
-func (w *walk) crashFor(i int, downtime time.Duration, then func(int)) {
-	w.nodes[i].replica = nil
-	w.nodes[i].incarnation++
-	w.schedule(downtime, func() { then(i) })
+// crashFor crashes the node at nodeIndex and calls then for it after a delay.
+func (w *walk) crashFor(nodeIndex int, downtime time.Duration, then func(int)) {
+	w.nodes[nodeIndex].replica = nil
+	w.nodes[nodeIndex].incarnation++
+	w.schedule(downtime, func() { then(nodeIndex) })
 }
 
 // recordViolation records a violation of an invariant with its time, if it is the first one.
@@ -112,46 +112,46 @@
 	}
 }
 
-// actionOnNode returns a function that advances the time of node i, calls do and carries out the node's actions. If the node has stopped or
+// actionOnNode returns a function that advances the time of the node at nodeIndex, calls do and carries out the node's actions. If the node has stopped or
 // restarted in the meantime, the function does nothing. If the node is suspended, the function runs once it resumes.
-func (w *walk) actionOnNode(i int, do func(*simNode)) func() {
-	incarnation := w.nodes[i].incarnation
+func (w *walk) actionOnNode(nodeIndex int, do func(*simNode)) func() {
+	incarnation := w.nodes[nodeIndex].incarnation
 	var action func()
 	action = func() {
-		if node := w.nodes[i]; node.incarnation == incarnation && node.replica != nil && !w.deferWhileSuspended(node, action) {
+		if node := w.nodes[nodeIndex]; node.incarnation == incarnation && node.replica != nil && !w.deferWhileSuspended(node, action) {
 			node.replica.Tick(w.now)
 			do(node)
-			w.drainActions(i)
+			w.drainActions(nodeIndex)
 		}
 	}
 	return action
 }
 
-// drainActions carries out the actions of node i and checks them.
-func (w *walk) drainActions(i int) {
-	node := w.nodes[i]
+// drainActions carries out the actions of the node at nodeIndex and checks them.
+func (w *walk) drainActions(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	for a, ok := node.replica.Next(); ok; a, ok = node.replica.Next() {
 		switch a := a.(type) {
 		case Send:
-			w.transmit(i, a)
+			w.transmit(nodeIndex, a)
 		case Write:
-			w.checkMerge(i, a)
+			w.checkMerge(nodeIndex, a)
 			node.writeDoneAt = max(node.writeDoneAt, node.diskBusyUntil, w.now) + w.randomDelay(5) + w.syncDelay
-			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(i, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
+			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(nodeIndex, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
 		case Restore:
 			node.appliedIndex, node.hostState = a.Index, string(a.State)
 			if a.Index > 1 && (a.Index-2 >= uint64(len(w.hostStates)) || w.hostStates[a.Index-2] != node.hostState) {
-				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", i, a.Index)
+				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", nodeIndex, a.Index)
 			}
 		case Commit:
-			w.applyCommit(i, node, a.Entry)
+			w.applyCommit(nodeIndex, node, a.Entry)
 		case Outcome:
 			since, read := w.ackedAtRead[a.Token]
 			switch {
 			case !read && w.finishedTokens[a.Token]:
-				w.recordViolation("node %d returned a second Outcome for proposal token=%d: status=%v", i, a.Token, a.Status)
+				w.recordViolation("node %d returned a second Outcome for proposal token=%d: status=%v", nodeIndex, a.Token, a.Status)
 			case a.Status == OutcomeCommitted && !read && string(w.committed[a.Index-2].Data) != string(proposalData(a.Token)):
-				w.recordViolation("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", i, a.Token, a.Index)
+				w.recordViolation("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", nodeIndex, a.Token, a.Index)
 			case a.Status != OutcomeCommitted:
 			case read && a.Index < since:
 				w.recordViolation("a read returned index=%d, want at least the acknowledged index %d", a.Index, since)
@@ -163,28 +163,28 @@
 			w.finishedTokens[a.Token] = true
 		case Wake:
 			if node.deadline = a.Deadline; a.Deadline < never {
-				w.schedule(a.Deadline-w.now, w.actionOnNode(i, func(*simNode) {}))
+				w.schedule(a.Deadline-w.now, w.actionOnNode(nodeIndex, func(*simNode) {}))
 			}
 		}
 	}
 	if node.replica.role == roleLeader && node.appliedIndex < w.ackedIndex && node.replica.log.lastIndex() < w.ackedIndex {
-		w.checkStaleLeader(i)
+		w.checkStaleLeader(nodeIndex)
 	}
-	w.checkContact(i)
+	w.checkQuorumContact(nodeIndex)
 }
 
-// checkStaleLeader checks that leader i, which lacks an acknowledged entry, leads an earlier term and not the newest one.
-func (w *walk) checkStaleLeader(i int) {
-	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[i].replica.term }) {
-		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", i, w.ackedIndex)
+// checkStaleLeader checks that the leader at nodeIndex, which lacks an acknowledged entry, leads an earlier term and not the newest one.
+func (w *walk) checkStaleLeader(nodeIndex int) {
+	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[nodeIndex].replica.term }) {
+		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", nodeIndex, w.ackedIndex)
 	}
 }
 
-// applyCommit applies an entry to the state of node i, and checks that the entry is the next one and the same as at the other nodes. It
+// applyCommit applies an entry to the state of the node at nodeIndex, and checks that the entry is the next one and the same as at the other nodes. It
 // compacts the log after one entry in twenty.
-func (w *walk) applyCommit(i int, node *simNode, e Entry) {
+func (w *walk) applyCommit(nodeIndex int, node *simNode, e Entry) {
 	if e.Index != max(node.appliedIndex, 1)+1 {
-		w.recordViolation("node %d applied index %d after index %d, want the next index", i, e.Index, node.appliedIndex)
+		w.recordViolation("node %d applied index %d after index %d, want the next index", nodeIndex, e.Index, node.appliedIndex)
 		return
 	}
 	sum := sha256.Sum256(append([]byte(node.hostState), e.Data...))
@@ -192,7 +192,7 @@
 	if position := e.Index - 2; position < uint64(len(w.committed)) {
 		if !isSameEntry(w.committed[position], e) {
 			w.recordViolation("index %d: the entry committed first has term %d, node %d applied a different entry of term %d",
-				e.Index, w.committed[position].Term, i, e.Term)
+				e.Index, w.committed[position].Term, nodeIndex, e.Term)
 		}
 	} else {
 		w.committed, w.hostStates = append(w.committed, e), append(w.hostStates, node.hostState)
@@ -204,11 +204,11 @@
 
 // transmit sends a message to the node at the recipient's address, or to the recipient's disk if no address is known. Unless the walk is
 // faultless, messages are lost, duplicated and delayed at random.
-func (w *walk) transmit(from int, send Send) {
-	id := w.nodes[from].disk.ID
+func (w *walk) transmit(senderIndex int, send Send) {
+	id := w.nodes[senderIndex].disk.ID
 	for i, node := range w.nodes {
 		isRecipient := send.Recipient.Addr == fmt.Sprint("node", i) || send.Recipient.Addr == "" && node.disk.ID == send.Recipient.ID
-		if !isRecipient || w.partitioned[[2]int{from, i}] {
+		if !isRecipient || w.partitioned[[2]int{senderIndex, i}] {
 			continue
 		}
 		w.bytesSent[i] += payloadBytes(send.Message)
@@ -238,9 +238,9 @@
 	}
 }
 
-// checkMerge checks that the merge of the last two writes of node i has the same effect on the disk as one write after the other.
-func (w *walk) checkMerge(i int, write Write) {
-	node := w.nodes[i]
+// checkMerge checks that the merge of the last two writes of the node at nodeIndex has the same effect on the disk as one write after the other.
+func (w *walk) checkMerge(nodeIndex int, write Write) {
+	node := w.nodes[nodeIndex]
 	if node.lastWrite.Seq > 0 {
 		merged, separate := node.diskBeforeLastWrite, node.diskBeforeLastWrite
 		merged.Apply(node.lastWrite.Merge(write))
@@ -248,7 +248,7 @@
 		node.diskBeforeLastWrite = separate
 		separate.Apply(write)
 		if fmt.Sprint(merged) != fmt.Sprint(separate) || merged.Validate() != nil {
-			w.recordViolation("node %d: disk is %v after the merged write, want %v as after two writes", i, merged, separate)
+			w.recordViolation("node %d: disk is %v after the merged write, want %v as after two writes", nodeIndex, merged, separate)
 		}
 	}
 	node.lastWrite = write
@@ -404,17 +404,17 @@
 }
 
 // newWalk returns a walk with a number of nodes, of which the first three are the first members.
-func newWalk(t *testing.T, nodes int, seed int64, planted mutation) *walk {
-	return newWalkWithMembers(t, nodes, 3, seed, planted)
+func newWalk(t *testing.T, nodeCount int, seed int64, planted mutation) *walk {
+	return newWalkWithMembers(t, nodeCount, 3, seed, planted)
 }
 
 // newWalkWithMembers returns a walk with a number of nodes, of which the first ones are the initial members.
-func newWalkWithMembers(t *testing.T, nodes, initialMembers int, seed int64, planted mutation) *walk {
-	return newWalkWithConfig(t, DefaultConfig(), nodes, initialMembers, seed, planted)
+func newWalkWithMembers(t *testing.T, nodeCount, initialMembers int, seed int64, planted mutation) *walk {
+	return newWalkWithConfig(t, DefaultConfig(), nodeCount, initialMembers, seed, planted)
 }
 
 // newWalkWithConfig is newWalkWithMembers with another Config than the default.
-func newWalkWithConfig(t *testing.T, config Config, nodes, initialMembers int, seed int64, planted mutation) *walk {
+func newWalkWithConfig(t *testing.T, config Config, nodeCount, initialMembers int, seed int64, planted mutation) *walk {
 	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), config: config, bytesSent: map[int]int{}}
 	w.config.TestingKnobs = knobsFor(planted)
 	// Snapshots and one proposal in eight go in chunks.
@@ -424,7 +424,7 @@
 	w.leaderSince = map[uint64]time.Duration{}
 	w.partitioned, w.ackedAtRead, w.finishedTokens = map[[2]int]bool{}, map[uint64]uint64{}, map[uint64]bool{}
 	var members []Member
-	for i := range nodes {
+	for i := range nodeCount {
 		w.nodes = append(w.nodes, &simNode{})
 		w.startEmpty(i)
 		if i < initialMembers {
