--- a/internal/gateway/replication/action.go
+++ b/internal/gateway/replication/action.go
@@ -28,13 +28,13 @@
 	// the host may answer from its state once it has applied all entries up to Index.
 	Index  uint64
 	Status OutcomeStatus
-	Leader Member // set with OutcomeNotLeader
+	Leader Member // the known leader if Status is OutcomeNotLeader; empty for all other statuses
 }
 
 // OutcomeStatus is the status of a finished proposal or read.
 type OutcomeStatus uint8
 
-// With any status but OutcomeCommitted and OutcomeUnknown, a proposal was not accepted and will never be committed.
+// A proposal with the status OutcomeNotLeader, OutcomeNoLeader or OutcomeBusy was not accepted and will never be committed.
 const (
 	OutcomeCommitted OutcomeStatus = iota
 	OutcomeNotLeader               // the request must go to Outcome.Leader
@@ -43,12 +43,14 @@
 	OutcomeUnknown                 // the proposal may have been committed, or may still be committed
 )
 
-// String returns the text that callers of the control API see.
+// String returns the text that callers of the control API see. In the text of OutcomeBusy, "too many wait" refers to proposals and
+// reads that wait for their Outcome.
 func (o OutcomeStatus) String() string {
 	return [...]string{"done", "not the leader", "no leader that hears a majority", "too many wait", "unknown"}[o]
 }
 
-// Wake requests a call of Tick at Deadline. It replaces any earlier Wake.
+// Wake requests a call of Tick at Deadline. A Wake replaces any earlier Wake. Deadline counts from the same start as the times that
+// the host passes to Tick.
 type Wake struct{ Deadline time.Duration }
 
 func (Send) action()    {}
--- a/internal/gateway/replication/blob.go
+++ b/internal/gateway/replication/blob.go
@@ -44,16 +44,16 @@
 type BlobSender struct {
 	Blob              *Blob
 	ackedBytes        uint64 // bytes that the receiver has acknowledged
-	sentBytes         uint64 // bytes that were sent; lowered when chunks must be sent again
+	sentBytes         uint64 // bytes from offset 0 that were sent; lowered when chunks must be sent again
 	retransmittedFrom uint64 // 1 + the offset of the last retransmission; 0: no retransmission yet
 	// lastProgressAt is the time of the last processed acknowledgement, or of the last chunk that was sent while nothing
 	// was in flight.
 	lastProgressAt time.Duration
 }
 
-// HandleAck processes an acknowledgement, whose Offset is the number of bytes that the receiver has. A lower number than
-// before means that the receiver has lost data. The same number as before means that a chunk was lost or duplicated: the
-// bytes in flight are sent again, but only once for each offset. Acknowledgements of other blobs are ignored.
+// HandleAck processes an acknowledgement. Its Offset is the number of bytes that the receiver has. If this number is lower than in the
+// acknowledgement before, the receiver has lost data. If the number is the same, a chunk was lost or duplicated: the bytes in flight
+// are then sent again, but only once for each offset. Acknowledgements of other blobs are ignored.
 func (b *BlobSender) HandleAck(ack *Chunk, now time.Duration) {
 	if b.Blob == nil || ack == nil || ack.blobID() != b.Blob.id || ack.Offset > ack.Size {
 		return
@@ -78,7 +78,7 @@
 // IsComplete reports whether the receiver has the complete blob.
 func (b *BlobSender) IsComplete() bool { return b.ackedBytes == b.Blob.id.size }
 
-// NextChunk returns the next chunk to send. It returns nil if config.MaxInflightBytes are in flight or if everything was sent.
+// NextChunk returns the next chunk to send. It returns nil if config.MaxInflightBytes are in flight or if the whole blob was sent.
 // Chunks without an acknowledgement within config.RetransmitTimeout are sent again.
 func (b *BlobSender) NextChunk(config *Config, now time.Duration) *Chunk {
 	size := b.Blob.id.size
@@ -112,10 +112,10 @@
 	return b.id.newChunk(uint64(len(b.data)), nil)
 }
 
-// Receive processes a chunk. It returns the complete data with the last chunk, and otherwise an acknowledgement to send.
-// A chunk with offset 0 of another blob replaces the incomplete blob, because the sender has moved on to a newer blob.
-// Other chunks of another blob are acknowledged with offset 0 and not stored.
-// Receive returns nil twice for a chunk whose blob is empty or larger than maxBlobBytes.
+// Receive processes a chunk. If the chunk completes the blob, Receive returns the data of the blob and no acknowledgement. If bytes are
+// still missing, it returns an acknowledgement to send and no data. A chunk with offset 0 of another blob replaces the incomplete blob,
+// because the sender has moved on to a newer blob. Other chunks of another blob are not stored, and are acknowledged with offset 0.
+// For a chunk whose blob is empty or larger than maxBlobBytes, Receive returns neither data nor an acknowledgement.
 func (b *BlobReceiver) Receive(c *Chunk) (complete []byte, ack *Chunk) {
 	id := c.blobID()
 	if id.size == 0 || id.size > maxBlobBytes {
--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -11,7 +11,7 @@
 	"clovergap/internal/invariant"
 )
 
-// This file writes the first member list of a cluster, and handles disks that contain nothing else.
+// This file writes the first member list of a cluster, and handles disks that contain only the first member list.
 
 // Bootstrap returns one of these errors, or an error that wraps ErrInvalidMembers.
 var (
@@ -57,8 +57,8 @@
 	return uint64(hash.Sum32()) | 1 // 0 means no cluster
 }
 
-// clusterIDOfThisLog returns the cluster ID of this replica's log. Each log on a disk has its own cluster ID, so that a replica
-// ignores a message that was sent to another log.
+// clusterIDOfThisLog returns the cluster ID of the log that this replica replicates (Config.LogID) for the given first member list. Each
+// log on a disk has its own cluster ID, so that a replica ignores a message that was sent to another log.
 func (r *Replica) clusterIDOfThisLog(members []Member) uint64 {
 	id := ClusterIDOf(members)
 	if r.config.LogID == ConfigurationLog || r.hasMutation(shareClusterID) {
@@ -75,11 +75,11 @@
 	return members
 }
 
-// Bootstrapped reports whether the disk contains anything besides the member ID.
+// Bootstrapped reports whether the replica belongs to a cluster. If not, its disk contains only the member ID.
 func (r *Replica) Bootstrapped() bool { return r.clusterID != 0 }
 
-// BootstrapMembers returns the first member list as long as no snapshot has replaced it; nil otherwise. A listed member whose
-// disk is empty has missed the bootstrap. Any other member may send it the list.
+// BootstrapMembers returns the first member list. It returns nil if a newer snapshot has replaced the list, or before the bootstrap. A
+// listed member whose disk is empty has missed the bootstrap. Any other member may send the list to the host of that disk.
 func (r *Replica) BootstrapMembers() []Member {
 	if r.clusterID == 0 || r.log.snapshot.Index != 1 {
 		return nil
@@ -95,14 +95,15 @@
 	return r.clusterID
 }
 
-// hasOnlyBootstrap reports whether this disk contains a bootstrap and nothing else. Such a member has not voted and has not
-// acknowledged an entry. Its cluster can lose the disk without harm: an empty disk with the same list replaces it fully.
+// hasOnlyBootstrap reports whether this disk contains only the bootstrap, which is the first member list. Such a member has not voted
+// and has not acknowledged an entry. So its cluster can lose the disk without harm: an empty disk with the same list fully replaces
+// the lost disk.
 func (r *Replica) hasOnlyBootstrap() bool {
 	return r.clusterID != 0 && r.log.snapshot.Index == 1 && len(r.log.entries) == 0 && (r.term == 1 || r.hasMutation(joinOtherAfterVote))
 }
 
-// stepBeforeJoining handles a message on an empty disk, or on a disk that only has the bootstrap of another cluster. It accepts
-// messages only from a leader: a leader has the votes of a majority, so its cluster exists.
+// stepBeforeJoining handles a message on an empty disk, or on a disk that has only the bootstrap of a cluster other than the sender's.
+// It accepts messages only from a leader: a leader has the votes of a majority, so its cluster exists.
 func (r *Replica) stepBeforeJoining(from MemberID, m Message) {
 	switch {
 	case m.Kind == MsgAppendChunk:
--- a/internal/gateway/replication/codec.go
+++ b/internal/gateway/replication/codec.go
@@ -7,9 +7,9 @@
 	"github.com/go-faster/errors"
 )
 
-// This file encodes messages between members of the coordination groups in a compact form. Most of these messages are
-// heartbeats and single entries, for which gob would take three times the bytes. The layout is as follows. Numbers are
-// varints, except the kinds, which take one byte each:
+// This file encodes messages between members of the coordination groups in a compact form. Each group has its own log beside the
+// configuration log. Most of these messages are heartbeats and single entries, for which gob would take three times the bytes. The
+// layout is as follows. Numbers are varints, except the kinds of messages and entries, which take one byte each:
 //
 //	kind, mask, cluster ID, recipient, term, the fields whose bits are set in the mask
 //
@@ -29,10 +29,11 @@
 	acceptsChunks
 )
 
-// ErrTruncatedMessage is returned for a message that ends too early, or whose counts exceed the remaining bytes.
+// ErrTruncatedMessage is returned for a message that ends too early. It is also returned if the length of a list or byte sequence in the
+// message exceeds the number of remaining bytes.
 var ErrTruncatedMessage = errors.New("truncated message")
 
-// fieldMask returns the bits of the fields that are encoded.
+// fieldMask returns the mask of the compact form: the bits of the optional fields that the message sets.
 func (m *Message) fieldMask() (mask uint64) {
 	set := func(bit uint64, isSet bool) {
 		if isSet {
--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// LogID distinguishes the logs on one disk.
+// LogID identifies one of the logs on a disk.
 type LogID uint8
 
 // ConfigurationLog is the log of configuration changes. The logs of the coordination groups are numbered from 1.
 const ConfigurationLog LogID = 0
 
-// Config contains the timeouts and limits of a replica. Each comment gives the default of DefaultConfig, and in parentheses the
-// default of GroupConfig where it differs.
+// Config contains the timeouts and limits of a replica. Each comment gives the value in DefaultConfig. If the value in GroupConfig
+// differs, it follows in parentheses.
 type Config struct {
 	// TestingKnobs injects defects for tests. It is an empty type in a release build.
 	TestingKnobs TestingKnobs
@@ -20,18 +20,19 @@
 	// HeartbeatInterval is the time between a leader's heartbeats. Default: 150 ms (100 ms).
 	HeartbeatInterval time.Duration
 
-	// ElectionTimeout is the minimum time without contact with a leader before a member starts a pre-vote. Default: 400 ms (300 ms).
+	// ElectionTimeout is the minimum time since the last message from a leader before a member starts a pre-vote. Default: 400 ms
+	// (300 ms).
 	ElectionTimeout time.Duration
 
 	// ElectionJitter is the upper bound of the random time that is added to ElectionTimeout. Default: 400 ms (300 ms).
 	ElectionJitter time.Duration
 
-	// QuorumTimeout is how long a leader continues without responses from a majority, and how long a follower reports a leader
-	// from which it receives no messages. Default: 1 s (500 ms).
+	// QuorumTimeout is how long a leader continues without responses from a majority. It is also how long a follower still reports
+	// its leader after the last message from that leader. Default: 1 s (500 ms).
 	QuorumTimeout time.Duration
 
-	// CommitNotifyDelay is the maximum delay before a leader sends a new commit index. Default: 20 ms (100 ms, because in a
-	// group only the leader answers requests from the committed state).
+	// CommitNotifyDelay is the maximum delay before a leader sends a new commit index to the other members. Default: 20 ms (100 ms:
+	// in a coordination group only the leader answers requests from the committed state, so the other members can learn of it later).
 	CommitNotifyDelay time.Duration
 
 	// RetransmitTimeout is the time after which unacknowledged chunks are sent again. A snapshot in a single message is sent
@@ -44,11 +45,12 @@
 	// MaxPending is the maximum number of proposals without an Outcome, and also of reads without an Outcome. Default: 1024.
 	MaxPending int
 
-	// MaxUncommittedBytes is the maximum size of the uncommitted entries. A single entry is always accepted. 0: no limit.
-	// Default: 8 MiB (1 MiB).
+	// MaxUncommittedBytes is the maximum total size of the uncommitted entries. A larger entry is accepted if no other entry is
+	// uncommitted. 0: no limit. Default: 8 MiB (1 MiB).
 	MaxUncommittedBytes int
 
-	// MaxMessageBytes is the maximum size of the entries in one message. A single entry is always sent. Default: 16 KiB.
+	// MaxMessageBytes is the maximum total size of the entries in one message. A larger entry is sent in a message of its own.
+	// Default: 16 KiB.
 	MaxMessageBytes int
 
 	// MaxInflightBytes is the maximum number of unacknowledged bytes in flight to one member. Larger entries and snapshots
@@ -58,11 +60,12 @@
 	// ChunkBytes is the size of a chunk. Default: 8 KiB.
 	ChunkBytes int
 
-	// TrailingBytes is the minimum size of the compacted entries that are kept in memory. Default: 64 KiB (16 KiB).
+	// TrailingBytes is the limit for the total size of the compacted entries that are kept in memory. A larger snapshot raises the limit
+	// to the size of the snapshot's state. Default: 64 KiB (16 KiB).
 	TrailingBytes int
 
-	// ReadMinimalQuorum sends a new read sequence to a bare majority first. The other members get it with the next heartbeat.
-	// Default: false (true).
+	// ReadMinimalQuorum sends a new read sequence (see read.go) only to as many members as a majority needs. The other members get
+	// the read sequence with the next heartbeat. Default: false (true).
 	ReadMinimalQuorum bool
 }
 
@@ -88,9 +91,9 @@
 	}
 }
 
-// GroupConfig returns the configuration for the log of a coordination group. Calls are delayed while a group has no leader, so
-// elections start sooner than in the configuration log. The timeouts are chosen for machines with 0.4 of a core and disks that
-// sync in up to 5 ms. They tolerate three missed heartbeats.
+// GroupConfig returns the configuration for the log of a coordination group, which is a part of the cluster's data with its own leader.
+// Calls to a group are delayed while the group has no leader, so elections start sooner than in the configuration log. The timeouts are
+// chosen for machines with 0.4 of a core and disks that sync in up to 5 ms. They tolerate three missed heartbeats.
 func GroupConfig(log LogID) Config {
 	config := DefaultConfig()
 	config.LogID = log
--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Quorum contact bounds the staleness of a member's state, like the closed timestamp of a bounded-staleness read. All entries
-// that were acknowledged before the time of quorum contact are committed on this member. No read or write depends on quorum
-// contact. A host uses it to decide whether its state is fresh enough.
+// Quorum contact is the last time at which a majority is known to have followed the leader. It bounds the staleness of a member's state,
+// like the closed timestamp of a bounded-staleness read: all entries that were acknowledged before the time of quorum contact are
+// committed on this member. No read or write depends on quorum contact. A host uses quorum contact to decide whether the host's state
+// is fresh enough.
 //
 // Messages between a leader and the other members carry the sender's clock. They also echo the newest clock that the sender has
 // received from the other side in this term. A member that echoes the leader's clock had not moved to a newer term when the
 // leader sent that clock. So once a majority has echoed a clock, no leader of a newer term had acknowledged anything at that
 // time, and every entry that this leader had acknowledged by then is committed.
 //
-// The leader sends the age of this time to its followers. A follower measures from the time when it sent the clock that the
+// The leader sends the age of its quorum contact to its followers. A follower measures from the time when it sent the clock that the
 // leader echoes, and not from the arrival of the leader's message. Network delay and process suspension therefore count as
 // staleness. Clocks start at a number that differs between incarnations of a process, so that an echo of an earlier
 // incarnation's clock does not match.
 
-// contactState is the newest time at which a majority is known to have been in contact with the leader of a term.
+// contactState is a quorum contact: the newest time at which a majority is known to have followed the leader of a term.
 type contactState struct {
-	lastContactAt time.Duration // noContact if no contact is known yet
-	term          uint64
+	lastContactAt time.Duration // time of the quorum contact; noContact if none is known yet
+	term          uint64        // the newest term in which a quorum contact is known
 }
 
 const noContact = -never
 
-// maxTimestampAge is the maximum age of an accepted echo. An older echo adds no information. An echo of another incarnation's
-// clock is almost certainly older than this limit or in the future.
+// maxTimestampAge is the maximum age of an accepted echo, which is a clock that the other side returned. An older echo adds no
+// information. An echo of a clock from another incarnation of the process is almost certainly older than this limit or in the future.
 const maxTimestampAge = 8 * time.Second
 
 // Clock is a monotonic clock in milliseconds, rounded down. It starts at a random number and wraps around after 49 days.
@@ -57,8 +58,8 @@
 // allowed to do depends only on that log.
 func (r *Replica) tracksQuorumContact() bool { return r.config.LogID == ConfigurationLog }
 
-// QuorumContact returns the time since the last known contact with a majority, and the newest term in which such contact is
-// known. It returns false and the term of the commit index if no contact is known since the process started.
+// QuorumContact returns the time since the last known quorum contact, and the newest term in which a quorum contact is known. If no
+// quorum contact is known since the process started, it returns false and the term of the entry at the commit index.
 func (r *Replica) QuorumContact(now time.Duration) (age time.Duration, term uint64, ok bool) {
 	if r.quorumContact.lastContactAt == noContact {
 		term, _ = r.log.termAt(r.commitIndex)
@@ -74,8 +75,8 @@
 	}
 }
 
-// recordMemberContact records that a member followed this term when the leader sent the clock that the member echoes. A member
-// of the first software version sends no clock, so the arrival time of its response is used.
+// recordMemberContact records on the leader that a member followed this term when the leader sent the clock that the member echoes. A
+// member of the first software version sends no clock, so the arrival time of its response is used instead.
 func (r *Replica) recordMemberContact(peer *progress, m Message) {
 	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.hasMutation(contactFromAckTime) {
@@ -87,9 +88,9 @@
 	}
 }
 
-// updateQuorumContact updates the leader's quorum contact, which is the newest time at which a majority was in contact. In a joint
-// configuration, a majority of both member lists is needed. The function does nothing before an entry of this term is committed:
-// until then, entries that earlier leaders acknowledged may not be known to be committed here.
+// updateQuorumContact updates the leader's quorum contact, which is the newest time at which a majority is known to have followed the
+// leader. In a joint configuration, a majority of each of both member lists is needed. The function does nothing before an entry of this
+// term is committed: until then, this leader may not know that entries that earlier leaders acknowledged are committed.
 func (r *Replica) updateQuorumContact() {
 	if r.role != roleLeader || !r.tracksQuorumContact() || r.commitIndex < r.termStartIndex && !r.hasMutation(contactBeforeNoOp) {
 		return
@@ -108,7 +109,7 @@
 	}
 }
 
-// attachQuorumContact adds the clocks and the age of the quorum contact to a message of the leader.
+// attachQuorumContact adds the leader's clock, the member's echoed clock and the age of the quorum contact to a message to the member.
 func (r *Replica) attachQuorumContact(peer *progress, m *Message) {
 	m.ContactAgeMillis = -1
 	if !r.tracksQuorumContact() {
@@ -121,7 +122,8 @@
 	}
 }
 
-// receiveQuorumContact stores the leader's quorum contact once this member has committed everything up to the leader's commit index.
+// receiveQuorumContact stores the quorum contact that the leader sent with an append, if this member has committed all entries up to the
+// leader's commit index.
 func (r *Replica) receiveQuorumContact(m Message) {
 	sentAt, ok := r.clock.TimeOf(m.EchoedClock, r.now)
 	if m.Clock == 0 || r.hasMutation(contactFromAppendTime) {
--- a/internal/gateway/replication/doc.go
+++ b/internal/gateway/replication/doc.go
@@ -35,10 +35,12 @@
 //	joint configuration  an uncommitted member list together with the previous one; decisions need majorities of both
 //	learner              a node that receives the log without a vote; it becomes a member once it has caught up
 //	leadership transfer  the leader asks a member that has all entries to start an election at once (TimeoutNow)
-//	read sequence        number of a broadcast of heartbeats that confirms the leadership for reads (ReadIndex in Raft)
+//	read sequence        number of a round of heartbeats. It is confirmed once a majority has acknowledged it. The leader then knows
+//	                     that it led when the round started, and answers the reads that came before (ReadIndex in Raft).
 //	quorum contact       the last time when a majority is known to have followed the leader; its age bounds the staleness
 //	blob                 data that is too large for one message and is sent in chunks: a snapshot's state or an entry's data
-//	draining             state of a member that has announced its shutdown
+//	draining             state of a node that has announced its shutdown
+//	coordination group   a part of the cluster's data that has its own leader and its own log, beside the configuration log
 //	lost member          a member that the host does not reach, that missed several heartbeats, or that is draining
 //	cluster ID           identifies one bootstrap of one log; messages with another cluster ID are ignored
 //	bootstrap            the write of the first member list to empty disks, as term 1 and index 1
@@ -75,6 +77,6 @@
 //
 // # Compatibility
 //
-// Nodes of two software versions exchange messages during a roll-out. The names and types that gob sends are in wire.go. The
-// messages of the coordination groups use the compact form of codec.go. The names on disk are in package logstore.
+// During a roll-out, nodes of the old and of the new software version exchange messages. The names and types that gob sends are in
+// wire.go. The messages of the coordination groups use the compact form of codec.go. The names on disk are in package logstore.
 package replication
--- a/internal/gateway/replication/durability.go
+++ b/internal/gateway/replication/durability.go
@@ -22,8 +22,8 @@
 	recipient MemberID
 }
 
-// requireWriteFrom records that the replica's state must be written to disk. A firstIndex above 0 means that the entries from this index
-// on must be written. With firstIndex 0, only the term, vote, commit index and snapshot are written.
+// requireWriteFrom records that the replica's state must be written to disk: the term, vote, commit index and snapshot. If firstIndex is
+// above 0, the entries from this log index on must be written too.
 func (r *Replica) requireWriteFrom(firstIndex uint64) {
 	r.writeNeeded = true
 	if firstIndex > 0 && (r.unwrittenFromIndex == 0 || firstIndex < r.unwrittenFromIndex) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// lowerSyncedIndex records that the disk does not have the current log beyond an index. This also applies to writes that are not
-// synced yet, because they contain entries that were removed since.
+// lowerSyncedIndex records that the disk does not have the current log beyond an index. It also lowers the last index of each write that
+// is not synced yet, because such a write contains entries that were removed from the log after the write was passed to the host.
 func (r *Replica) lowerSyncedIndex(index uint64) {
 	r.syncedIndex = min(r.syncedIndex, index)
 	for i := range r.unsyncedWrites {
@@ -79,8 +79,8 @@
 	}
 }
 
-// replyAfterSync sends a reply once the present state of the replica is on disk. If a power loss erased a vote, two leaders
-// could be elected in one term. If it erased an acknowledged entry, a committed entry could be lost.
+// replyAfterSync sends a reply once the present state of the replica is on disk. A reply that is sent earlier has two dangers. If a power
+// loss erases a vote, two leaders can be elected in one term. If a power loss erases an acknowledged entry, a committed entry can be lost.
 func (r *Replica) replyAfterSync(reply pendingReply) {
 	reply.writeSeq = r.nextWriteSeq
 	if !r.writeNeeded {
@@ -96,7 +96,7 @@
 	}
 }
 
-// sendPendingReply sends a reply, unless this member has moved to a newer term since.
+// sendPendingReply sends a reply. It does nothing if this member has moved to a newer term since the reply became pending.
 func (r *Replica) sendPendingReply(reply pendingReply) {
 	if reply.term != r.term {
 		return
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -3,12 +3,13 @@
 import "clovergap/internal/invariant"
 
 const (
-	// startupTimeoutDivisor shortens the first election timeout of a process that has not seen a leader yet: after a power
-	// loss on all nodes there is no leader. If a leader exists, the pre-vote prevents an unnecessary election.
+	// startupTimeoutDivisor divides the election timeout of a process that has not seen a leader since its start, because after a
+	// power loss on all nodes there is no leader. If a leader exists, the pre-vote prevents an unnecessary election.
 	startupTimeoutDivisor = 3
 
-	// maxElectionBackoffFactor limits the election timeout to this multiple of Config.ElectionTimeout. Each election without a
-	// leader doubles the timeout. Otherwise candidates would depose each other forever if every sync takes longer than the timeout.
+	// maxElectionBackoffFactor limits the election timeout to this multiple of Config.ElectionTimeout. Each election that does not
+	// result in a leader doubles the timeout. Without this backoff, candidates would depose each other forever if every sync takes
+	// longer than the timeout.
 	maxElectionBackoffFactor = 4
 
 	// voteTimeoutFactor is the time that a candidate allows for votes, as a multiple of the time of its own sync. The factor
@@ -16,7 +17,8 @@
 	voteTimeoutFactor = 3
 )
 
-// resetElectionDeadline restarts the election timeout. Only members start elections.
+// resetElectionDeadline restarts the election timeout. A node that is not a member has no deadline, because only members start
+// elections.
 func (r *Replica) resetElectionDeadline() {
 	r.electionDeadline = never
 	if r.clusterID == 0 || !r.isMember(r.self.ID) {
@@ -33,7 +35,7 @@
 }
 
 // ReportUnreachable reports that the connection to a member broke. If that member is the leader, this member soon starts a
-// pre-vote, like the other members whose connections broke. Members that still receive messages from the leader reject it.
+// pre-vote, like the other members whose connections broke. Members that still receive messages from the leader reject the pre-vote.
 func (r *Replica) ReportUnreachable(id MemberID) {
 	if r.role != roleFollower || r.leaderID != id || r.electionDeadline == never {
 		return
@@ -42,8 +44,8 @@
 	r.electionDeadline = min(r.electionDeadline, r.now+r.randomDuration(r.config.HeartbeatInterval/2))
 }
 
-// enterTerm moves to a newer term. It is also called for the current term if the leader is not the candidate that this member
-// voted for.
+// enterTerm moves to a newer term as a follower. It is also called with the current term, if this member voted for another candidate
+// than the one that became leader.
 func (r *Replica) enterTerm(term uint64, votedFor MemberID) {
 	invariant.Assert(term >= r.term, "the term never decreases")
 	if r.role == roleLeader {
@@ -102,8 +104,8 @@
 	r.replyAfterSync(pendingReply{kind: MsgRequestVote, term: r.term})
 }
 
-// extendElectionDeadline postpones the next election until the other members have had time to sync their votes. An election
-// that starts while they write would invalidate these votes.
+// extendElectionDeadline postpones this candidate's next election until the other members have had time to sync their votes. A next
+// election before that time would start a newer term, in which these votes do not count.
 func (r *Replica) extendElectionDeadline() {
 	if r.electionDeadline == never || r.hasMutation(skipTieBreak) {
 		return
@@ -135,8 +137,8 @@
 	}
 }
 
-// tallyVotes sends the missing vote requests. With the votes of a majority, it becomes leader if its log is the newest among
-// the voters. Otherwise it fetches the newest log.
+// tallyVotes sends the missing vote requests and counts the votes. If a majority has voted for this candidate, the candidate becomes
+// leader if no voter has a newer log. If a voter has a newer log, the candidate fetches the newest log first.
 func (r *Replica) tallyVotes() {
 	if _, synced := r.votes[r.self.ID]; !synced {
 		return
@@ -153,7 +155,7 @@
 		}
 		return
 	}
-	// The newest log has a member list without this member. Another member will start an election.
+	// This member is not on the member list of the newest log. It must not lead. Another member will start an election.
 	if !r.isMember(r.self.ID) {
 		r.role = roleFollower
 		r.resetElectionDeadline()
@@ -162,8 +164,8 @@
 	r.becomeLeader()
 }
 
-// requestVotes sends a vote request to each member that was not sent one in this term. The member list can grow during an
-// election if the candidate fetches a newer log.
+// requestVotes sends a vote request to each member that has not been sent one in this term. It is called repeatedly, because the member
+// list can grow during an election if the candidate fetches a newer log.
 func (r *Replica) requestVotes() {
 	for _, m := range r.otherMembers() {
 		if _, asked := r.voteRequests[m.ID]; !asked {
@@ -240,7 +242,8 @@
 	}
 }
 
-// onTimeoutNow starts an election without a pre-vote, because the leader transfers its leadership to this member.
+// onTimeoutNow handles MsgTimeoutNow, by which the leader transfers its leadership to this member. It starts an election without a
+// pre-vote.
 func (r *Replica) onTimeoutNow(from MemberID, m Message) {
 	if m.Term == r.term && r.leaderID == from && r.role == roleFollower && r.isMember(r.self.ID) {
 		r.startElection()
--- a/internal/gateway/replication/entry.go
+++ b/internal/gateway/replication/entry.go
@@ -25,10 +25,11 @@
 	Index, Term uint64
 	Kind        EntryKind
 	Data        []byte   // for EntryNormal; must not change after the proposal
-	Members     []Member // for EntryConfigChange: the complete new list
+	Members     []Member // for EntryConfigChange: the complete new member list
 }
 
-// These are the approximate overhead of an entry, and of each member on its list, in bytes on a link or on disk.
+// entryOverheadBytes is the approximate overhead of an entry in bytes on a link or on disk. For an EntryConfigChange,
+// memberOverheadBytes is added for each member on the member list in Entry.Members.
 const (
 	entryOverheadBytes  = 32
 	memberOverheadBytes = 32
@@ -39,7 +40,7 @@
 	return len(e.Data) + entryOverheadBytes + memberOverheadBytes*len(e.Members)
 }
 
-// totalEntryBytes returns the sum of the entry sizes.
+// totalEntryBytes returns the sum of the sizes of the entries, as Entry.Size estimates them.
 func totalEntryBytes(entries []Entry) (bytes int) {
 	for i := range entries {
 		bytes += entries[i].Size()
@@ -50,8 +51,8 @@
 // Snapshot is the host's state up to an index. It replaces the log up to that index.
 type Snapshot struct {
 	Index, Term uint64 // of the last entry that State includes
-	Members     []Member
-	State       []byte // empty: the initial state of a new system
+	Members     []Member // the member list in effect at Index
+	State       []byte   // empty: the initial state of a new system
 }
 
 func (s *Snapshot) lastPosition() logPosition { return logPosition{s.Term, s.Index} }
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -4,7 +4,8 @@
 
 // This file handles the leader's append messages at a follower. Chunks of appends are handled in snapshot.go.
 
-// followLeader processes the fields that all messages of a leader have. It returns false if the message has an earlier term.
+// followLeader processes the fields that all messages of a leader have. If the message has an earlier term than this member, followLeader
+// rejects the message and returns false.
 func (r *Replica) followLeader(from MemberID, m Message) bool {
 	if m.Term < r.term && !r.hasMutation(acceptStaleTerm) {
 		r.sendToID(from, Message{Kind: MsgStaleTerm, Term: r.term})
@@ -17,14 +18,15 @@
 	r.role, r.leaderID, r.leaderContactAt = roleFollower, from, r.now
 	r.sawLeader, r.failedElections = true, 0
 	r.readSeq = max(r.readSeq, m.Seq)
-	// Clocks wrap around, so that only the sign of the difference tells which is newer.
+	// Clocks wrap around, so only the sign of their difference shows which clock is newer.
 	if r.leaderClock == 0 || int32(m.Clock-r.leaderClock) > 0 {
 		r.leaderClock = m.Clock
 	}
 	return true
 }
 
-// onAppend appends the leader's entries or installs its snapshot, and acknowledges what is on disk.
+// onAppend appends the entries of the leader's message or installs the snapshot of the message. It then acknowledges the part of the
+// log that is on disk.
 func (r *Replica) onAppend(from MemberID, m Message) {
 	if !r.followLeader(from, m) {
 		return
@@ -54,13 +56,14 @@
 	}
 }
 
-// hasPreviousEntry reports whether the log has the entry that precedes the entries of an append.
+// hasPreviousEntry reports whether this member's log has the entry that directly precedes the entries of an append.
 func (r *Replica) hasPreviousEntry(m Message) bool {
 	term, known := r.log.termAt(m.Index)
 	return known && (term == m.LogTerm || r.hasMutation(skipLogMatching))
 }
 
-// sendAck acknowledges the log on disk to the leader. It also acknowledges the read sequence, which needs no disk write.
+// sendAck acknowledges to the leader the part of the log that is on disk and equal to the leader's log. It also acknowledges the newest
+// read sequence, which needs no disk write.
 func (r *Replica) sendAck() {
 	index := min(r.matchIndex, r.syncedIndex)
 	if r.hasMutation(ackUnsynced) {
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -67,7 +67,8 @@
 	r.updateQuorumContact()
 }
 
-// appendInCurrentTerm appends a new entry in the current term. The entry is replicated before Next returns false.
+// appendInCurrentTerm appends a new entry in the current term and returns its index. The entry is sent to the other members before
+// Next returns false.
 func (r *Replica) appendInCurrentTerm(e Entry) uint64 {
 	e.Index, e.Term = r.log.lastIndex()+1, r.term
 	r.appendEntry(e)
@@ -79,7 +80,8 @@
 	return e.Index
 }
 
-// replicateAll sends each member the entries that it lacks, and starts a read sequence if reads are waiting for one.
+// replicateAll sends each member the entries that it lacks. If reads are waiting for the next read sequence (see read.go) and the current
+// one is confirmed, it starts the next one.
 func (r *Replica) replicateAll() {
 	if r.role != roleLeader {
 		return
@@ -90,10 +92,10 @@
 	if len(r.reads) > 0 && r.confirmedReadSeq() == r.readSeq && r.startReadSeq() {
 		r.broadcastReadSeq()
 	}
-	r.maybeCommit() // a cluster with a single member gets no acknowledgement that would trigger the commit
+	r.maybeCommit() // needed in a cluster with a single member, because no acknowledgement arrives that would trigger the commit
 }
 
-// replicateTo sends a member the entries or the snapshot that it lacks, up to the limit for data in flight.
+// replicateTo sends a member the entries or the snapshot that the member lacks, up to Config.MaxInflightBytes in flight.
 func (r *Replica) replicateTo(peer *progress) {
 	if outdated := peer.transfer.snapshot; r.hasMutation(abandonTransfer) && outdated != nil && outdated.Index < r.log.snapshot.Index {
 		peer.transfer, peer.nextIndex = blobTransfer{}, 0
@@ -143,7 +145,7 @@
 	return len(entries)
 }
 
-// sendAppend sends a message of the leader with the fields that all of its messages have.
+// sendAppend sets the fields that all messages of a leader have, and sends the message to a member. The default kind is MsgAppend.
 func (r *Replica) sendAppend(peer *progress, m Message) {
 	if m.Kind == 0 {
 		m.Kind = MsgAppend
@@ -162,7 +164,7 @@
 }
 
 // sendHeartbeat sends an append without entries. Its Index and LogTerm name the last entry that was sent to the member. If the
-// member lacks that entry, it rejects the heartbeat, which reveals a lost message.
+// member lacks that entry because a message was lost, the member rejects the heartbeat. The leader then sends the entries again.
 func (r *Replica) sendHeartbeat(peer *progress) {
 	previous := logPosition{index: peer.nextIndex - 1}
 	var known bool
@@ -222,7 +224,8 @@
 	r.finishConfirmedReads()
 }
 
-// onAppendAck records what a member has on disk, and continues the work that depends on it.
+// onAppendAck records up to which index a member has the log on disk. Then it commits entries, promotes the learner, sends more entries
+// or transfers the leadership, if the acknowledgement permits this.
 func (r *Replica) onAppendAck(peer *progress, m Message) {
 	if peer.transfer.isActive() && m.Index >= peer.transfer.sender.Blob.Index() {
 		peer.transfer = blobTransfer{}
@@ -247,8 +250,8 @@
 	r.maybeTransferLeadership()
 }
 
-// maybeCommit commits the entries that a majority has on disk. If a committed member list ends a joint configuration, more entries
-// can be committable. The loop repeats for this reason.
+// maybeCommit commits the entries that a majority has on disk. It does so in a loop: a committed member list ends a joint configuration,
+// and the majority of the new list alone may have more entries on disk.
 func (r *Replica) maybeCommit() {
 	for r.role == roleLeader {
 		index := r.committableIndex()
@@ -291,8 +294,8 @@
 	return r.peers[id] != nil && r.peers[id].matchIndex >= index
 }
 
-// exitJointConfiguration continues with only the new member list. Before that, it sends the commit index once more to the members
-// that are no longer listed, so that they learn of their removal.
+// exitJointConfiguration is called once the new member list is committed. It sends the commit index once more to all members, so that
+// the removed members learn of their removal. After that, only the members on the new list are tracked.
 func (r *Replica) exitJointConfiguration() {
 	r.broadcastHeartbeat()
 	r.trackMembers()
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -10,8 +10,8 @@
 // takes more memory than its Size.
 const maxTrailingEntries = 4096
 
-// entryLog is a snapshot and the entries after it. It also keeps some compacted entries in memory. Callers may keep the slices that
-// its methods return.
+// entryLog is a snapshot and the entries after the snapshot. It also keeps some compacted entries in memory. Callers may keep the slices
+// that the methods of entryLog return.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry // entries after the snapshot
@@ -21,7 +21,8 @@
 	termBeforeTrailing uint64
 }
 
-// firstIndex returns the index of the oldest entry in memory.
+// firstIndex returns the index of the oldest entry in memory, including the trailing entries. Without any entry, it returns the index
+// after the snapshot.
 func (e *entryLog) firstIndex() uint64 { return e.snapshot.Index + 1 - uint64(len(e.trailing)) }
 
 func (e *entryLog) lastIndex() uint64 { return e.snapshot.Index + uint64(len(e.entries)) }
@@ -88,8 +89,9 @@
 	e.entries = slices.Clone(e.entries[:index-e.snapshot.Index-1])
 }
 
-// compact replaces the log up to the snapshot's index by the snapshot. It keeps compacted entries in memory, up to the larger of
-// trailingBytes and the size of the snapshot's state. A member that lacks less than that receives entries instead of the snapshot.
+// compact replaces the log up to the snapshot's index by the snapshot. It keeps the newest compacted entries in memory. Their total size
+// is limited to the larger of trailingBytes and the size of the snapshot's state. A member that lacks only entries that are in memory
+// receives these entries instead of the snapshot.
 func (e *entryLog) compact(snapshot Snapshot, trailingBytes int) {
 	if len(e.trailing) == 0 {
 		e.termBeforeTrailing = e.snapshot.Term
@@ -128,8 +130,9 @@
 	r.requireWriteFrom(index)
 }
 
-// appendAfter appends the entries of a newer log, given that both logs are equal up to prevIndex. It removes own entries only from
-// the first conflicting one on: a delayed message may contain fewer entries than an earlier one, and must not remove the others.
+// appendAfter appends the entries of a message to this member's log. The caller has checked that this log equals the sender's log up to
+// prevIndex. Entries of this log are removed only from the first conflicting entry on. Entries after the last entry of the message stay
+// if there is no conflict: the message may have been delayed and then contains fewer entries than a message that was handled before.
 func (r *Replica) appendAfter(prevIndex uint64, entries []Entry) {
 	for i, e := range entries {
 		consecutive := e.Index == prevIndex+1+uint64(i)
@@ -173,7 +176,7 @@
 	}
 }
 
-// Compact replaces the log up to a committed index by the host's state at that index.
+// Compact replaces the log up to a committed index by a snapshot. `state` is the host's state at that index.
 func (r *Replica) Compact(index uint64, state []byte) {
 	invariant.Assert(index <= r.commitIndex, "only committed entries are compacted")
 	if index <= r.log.snapshot.Index || index > r.commitIndex {
@@ -201,7 +204,7 @@
 	return entries[:min(uint64(len(entries)), max(upto, index)-index)], true
 }
 
-// UncompactedBytes returns the size of the entries after the snapshot, up to and including an index.
+// UncompactedBytes returns the total size of the entries after the snapshot, up to and including index `upto`.
 func (r *Replica) UncompactedBytes(upto uint64) int {
 	return r.log.bytesBetween(r.log.snapshot.Index, min(upto, r.log.lastIndex()))
 }
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -9,18 +9,22 @@
 // Membership changes. The leader compares the member list with the disks that its host reaches. It makes one change at a time, each
 // by a joint configuration:
 //
-//   - A disk that is not a member first receives the log as a learner. Once the learner has all committed entries, it replaces the
-//     member at its own address, because the disk of that member is gone. Otherwise it replaces the member that has been lost
-//     longest. If no member is lost, the learner is added. A member that was lost only recently may be restarting, so the
-//     learner's promotion is delayed until that is known.
-//   - A lost member without a replacement is removed if fewer than `tolerates` further members could be lost otherwise, and only
-//     if at least 2*tolerates+1 members remain: a majority of 2*tolerates+1 keeps tolerates+1 copies of each acknowledged entry.
+//   - A disk that is not a member first receives the log as a learner. Once the learner has all committed entries, the leader changes
+//     the member list in one of three ways. If a member is listed with the learner's address, the learner replaces that member,
+//     because the disk of that member is gone or at another address. If no member is listed with this address, but members are
+//     lost, the learner replaces the member that has been lost longest. If no member is lost, the learner is added. A member that
+//     was lost only recently may be restarting. The learner's promotion is then delayed until the member is back or has been lost
+//     for replaceLostAfter.
+//   - The host passes `tolerates`, the number of further losses that the cluster must survive. A lost member without a replacement
+//     is removed if two conditions hold. With the present list, the cluster would survive fewer than `tolerates` further losses.
+//     After the removal, at least 2*tolerates+1 members remain: a majority of 2*tolerates+1 keeps tolerates+1 copies of each
+//     acknowledged entry.
 //
 // If l of n members are reachable, l-(n/2+1) more may be lost. Once n = l and l >= 2*tolerates+1, that is at least `tolerates`.
-// So after any loss, it takes replaceLostAfter or removeLostAfter plus a round trip until the cluster tolerates `tolerates` losses again.
+// So after any loss, it takes replaceLostAfter or removeLostAfter plus a round trip until the cluster survives `tolerates` losses again.
 
 const (
-	// replaceLostAfter is how long a member may take to restart before a learner replaces it.
+	// replaceLostAfter is how long a member may be lost before a learner replaces it. A member that restarts needs less time.
 	replaceLostAfter = 2 * time.Second
 
 	// removeLostAfter is how long a member may be lost before it is removed without a replacement. It is longer than
@@ -35,8 +39,8 @@
 	// time of its last response.
 	maxMissedHeartbeats = 3
 
-	// maxLearnerTimeouts times Config.LearnerTimeout is how long a learner may make no progress while other learner
-	// candidates exist.
+	// maxLearnerTimeouts times Config.LearnerTimeout is the maximum time since a learner's last progress while other learner
+	// candidates exist. After this time, the leader drops the learner.
 	maxLearnerTimeouts = 3
 
 	// maxMembers is the maximum length of a member list.
@@ -119,7 +123,7 @@
 // updateLostMembers records for each lost member since when it is lost. A member is lost if the host does not reach its node or
 // if it missed more than maxMissedHeartbeats. A draining member also counts as lost.
 func (r *Replica) updateLostMembers(reachable []ReachableNode) {
-	now := max(r.now, 1) // 0 means that there is no entry
+	now := max(r.now, 1) // never 0, because 0 in lostSince means that the member is not lost
 	for id := range r.lostSince {
 		if !r.isMember(id) {
 			delete(r.lostSince, id)
@@ -136,7 +140,7 @@
 			r.lostSince[m.ID] = now - drainingLostAge
 		case isReachable:
 			delete(r.lostSince, m.ID)
-		// A member that finished draining is gone. It may be restarting from now on.
+		// A member that was draining and is no longer reachable has shut down. It may be restarting, so its loss counts from now.
 		case r.lostSince[m.ID] == 0 || r.isDraining(m.ID):
 			r.lostSince[m.ID] = r.unreachableSince(m.ID, now)
 		default:
@@ -148,9 +152,9 @@
 // isDraining reports whether a member has announced its shutdown.
 func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainingLostAge/2 }
 
-// unreachableSince returns the earlier of two times: when the host detected the loss of a member, and the member's last response to
-// the leader. A host takes seconds to detect a loss. Counted from the detection, a replacement would miss the deadline within
-// which the cluster must tolerate the next loss.
+// unreachableSince returns since when a member counts as unreachable. This is the earlier of two times: `detected`, when the host detected
+// the loss, and the time of the member's last response to this leader. A host takes seconds to detect a loss. If the loss counted only
+// from its detection, the replacement would miss the deadline within which the cluster must tolerate the next loss.
 func (r *Replica) unreachableSince(id MemberID, detected time.Duration) time.Duration {
 	if peer := r.peers[id]; peer != nil && !r.hasMutation(lostFromDetection) {
 		return max(min(detected, peer.lastResponseAt), 1)
@@ -187,7 +191,8 @@
 	return 0
 }
 
-// reconcileLearner continues with the learner. Until the learner has caught up, each call decides again which member it replaces.
+// reconcileLearner starts or continues the learner. Until the learner has caught up, each call decides again which member the learner
+// replaces.
 func (r *Replica) reconcileLearner(learner Member, tolerates int) {
 	lost, since := r.longestLostMember()
 	switch atAddress := r.memberAtAddressOf(learner); {
@@ -223,8 +228,8 @@
 	return true
 }
 
-// longestLostMember returns the member that has been lost longest, except this member. Of several, it returns the lowest ID; 0 if
-// no member is lost.
+// longestLostMember returns the member that has been lost longest, and since when. This member itself is not considered. If several
+// members have been lost equally long, it returns the one with the lowest ID. If no member is lost, it returns 0.
 func (r *Replica) longestLostMember() (id MemberID, since time.Duration) {
 	for _, m := range r.Members() {
 		memberLostSince, lost := r.lostSince[m.ID]
@@ -252,16 +257,16 @@
 }
 
 // canReconfigure reports whether the member list may be changed. Only one change at a time is allowed, and only after an entry of
-// this term is committed. Until then, an earlier leader's member list that is unknown here may be in effect. Its majorities need
-// not overlap with those of this list.
+// this term is committed. Before that, an earlier leader's member list that this leader does not know may be in effect. The majorities of
+// that list need not overlap with the majorities of the list that this leader knows.
 func (r *Replica) canReconfigure() bool {
 	return r.isLatestConfigCommitted() && r.commitIndex >= r.termStartIndex
 }
 
-// AddMember sends the log to a learner and makes the learner a member once it has the log on disk. The new member replaces the
-// member at its address, otherwise the member `replaces`, or no member if `replaces` is 0. Only one learner is handled at a time.
-// The host repeats the call until Members contains the learner. AddMember returns false if this member is not the leader or if
-// another learner is in progress.
+// AddMember sends the log to a learner and makes the learner a member once the learner has the log on disk. If a member is listed with the
+// learner's address, the learner replaces that member. If none is, the learner replaces the member `replaces`, or no member if
+// `replaces` is 0. Only one learner is handled at a time. The host repeats the call until Members contains the learner. AddMember
+// returns false if this member is not the leader or if another learner is in progress.
 func (r *Replica) AddMember(learner Member, replaces MemberID) bool {
 	if r.isMember(learner.ID) {
 		return r.role == roleLeader
@@ -277,8 +282,9 @@
 	return true
 }
 
-// startLearner starts or continues to send the log to a learner. The list `members` takes effect once the learner has caught up. If
-// `members` is nil, the promotion is delayed.
+// startLearner starts or continues to send the log to a learner. The member list `members` is appended to the log once the learner has
+// caught up. If `members` is nil, the learner's promotion is delayed. startLearner returns false if this member is not the leader or
+// if another learner is in progress.
 func (r *Replica) startLearner(learner Member, members []Member) bool {
 	if r.role != roleLeader || learner.ID == 0 || r.learner != 0 && r.learner != learner.ID {
 		return false
@@ -307,7 +313,8 @@
 		return
 	}
 	r.learner = 0
-	if r.learnerConfig.index == r.latestConfig().index { // else another list took effect meanwhile, and AddMember will be called again
+	// If another member list took effect since the learner started, the learner's list is outdated. The host then calls AddMember again.
+	if r.learnerConfig.index == r.latestConfig().index {
 		r.appendInCurrentTerm(Entry{Kind: EntryConfigChange, Members: r.learnerConfig.members})
 	}
 	r.trackMembers()
@@ -333,8 +340,8 @@
 }
 
 // IndexReplicatedElsewhere returns the index up to which a majority has the committed entries on disk without counting this member.
-// A member that shuts down waits until this index reaches CommitIndex. Otherwise the next loss right after the shutdown could
-// destroy an acknowledged entry of which this member had one of the copies.
+// A member that shuts down waits until this index reaches CommitIndex. If it did not wait, the loss of another member right after the
+// shutdown could destroy an acknowledged entry of which the member that shut down has one of the copies.
 func (r *Replica) IndexReplicatedElsewhere() uint64 {
 	switch {
 	case r.role == roleLeader:
