--- a/internal/gateway/replication/entry.go
+++ b/internal/gateway/replication/entry.go
@@ -50,7 +50,7 @@
 
 // Snapshot is the host's state up to an index. It replaces the log up to that index.
 type Snapshot struct {
-	Index, Term uint64 // of the last entry that State includes
+	Index, Term uint64   // of the last entry that State includes
 	Members     []Member // the member list in effect at Index
 	State       []byte   // empty: the initial state of a new system
 }
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -5,24 +5,25 @@
 
 // Kinds of messages, with the fields that each kind uses in addition to ClusterID, Recipient and Term.
 const (
-	// MsgAppend is sent by the leader. Entries, which may be empty, follow the entry with Index and LogTerm. Alternatively,
-	// Snapshot contains the state up to Index.
+	// MsgAppend is sent by the leader. It contains either Entries, which follow the entry with Index and LogTerm, or a Snapshot with
+	// the state up to Index. An MsgAppend without entries and snapshot is a heartbeat.
 	MsgAppend MessageKind = iota + 1
-	// MsgAppendAck reports that the sender's log up to Index equals the leader's log and is synced. It also acknowledges Seq.
+	// MsgAppendAck reports that the sender's log up to Index equals the leader's log and is synced. It also acknowledges the read
+	// sequence Seq.
 	MsgAppendAck
-	// MsgAppendReject reports that the sender has no entry with the Index and LogTerm of the append. In MsgAppendReject, Index
-	// is the sender's commit index.
+	// MsgAppendReject reports that the sender has no entry with the Index and LogTerm of the append. The Index of the MsgAppendReject
+	// itself is the sender's commit index.
 	MsgAppendReject
-	// MsgStaleTerm answers a message whose term the sender does not follow any more. Term is the sender's term. Rejected means
-	// that the sender is itself a candidate.
+	// MsgStaleTerm answers a message that the sender does not accept because of the term of that message. Term is the sender's own
+	// term. Rejected means that the sender is itself a candidate.
 	MsgStaleTerm
-	// MsgPreVote asks whether the receiver has lost the leader too. Seq distinguishes attempts.
+	// MsgPreVote asks whether the receiver has lost the leader too. Seq is the number of the pre-vote attempt.
 	MsgPreVote
-	// MsgPreVoteResponse answers MsgPreVote. Rejected means that the receiver has a leader.
+	// MsgPreVoteResponse answers MsgPreVote. Rejected means that its sender has a leader or is the leader.
 	MsgPreVoteResponse
 	// MsgRequestVote requests a vote in Term.
 	MsgRequestVote
-	// MsgVoteGranted reports that the vote is on disk. Index and LogTerm identify the sender's last entry.
+	// MsgVoteGranted reports that the sender's vote is on disk. Index and LogTerm identify the last entry of the sender's log.
 	MsgVoteGranted
 	// MsgFetchLog is a candidate's request for the log after Index, which is the candidate's commit index.
 	MsgFetchLog
@@ -33,7 +34,8 @@
 	// MsgAppendChunk is an MsgAppend with only a part of its data. Chunk is a part of the state of Snapshot, whose State is empty,
 	// or of the data of the only entry in Entries, whose Data is empty.
 	MsgAppendChunk
-	// MsgChunkAck reports that all bytes of the blob before the Offset of Chunk are in memory. It also acknowledges Seq.
+	// MsgChunkAck reports that the sender has all bytes of the blob before the Offset of Chunk in memory. It also acknowledges the read
+	// sequence Seq.
 	MsgChunkAck
 )
 
@@ -53,7 +55,8 @@
 	Snapshot       *Snapshot
 	Chunk          *Chunk
 
-	// ReplicatedElsewhere is sent with heartbeats to a draining member: see Replica.IndexReplicatedElsewhere.
+	// ReplicatedElsewhere is the index up to which a majority has the committed entries without the recipient. It is set in heartbeats
+	// to a draining member: see Replica.IndexReplicatedElsewhere.
 	ReplicatedElsewhere uint64
 
 	// AcceptsChunks is set in acknowledgements and rejections if the sender's software version supports chunks.
@@ -63,7 +66,7 @@
 	// term. Both are set in messages between the leader and other members. See contact.go.
 	Clock, EchoedClock uint32
 
-	// ContactAgeMillis is the time since a majority was in contact with the leader, in milliseconds. Negative: no such
+	// ContactAgeMillis is the time since the leader's last known quorum contact (see contact.go), in milliseconds. Negative: no quorum
 	// contact is known.
 	ContactAgeMillis int64
 }
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -14,14 +14,14 @@
 	// Entries after inflightBase are in flight. inflightBase exceeds matchIndex when a retransmission or a snapshot skips some
 	// entries.
 	inflightBase      uint64
-	readSeq           uint64 // the newest acknowledged read sequence
+	readSeq           uint64 // the newest read sequence that the member has acknowledged
 	lastResponseAt    time.Duration
 	snapshotSentAt    time.Duration // when a snapshot was last sent in a single message
 	nextRetryAt       time.Duration // rejections before this time cause no retransmission
 	lastReceivedClock uint32        // newest clock received from the member
 	lastContactAt     time.Duration // latest time at which the member is known to have followed this term
 
-	// responded reports whether the member has responded in this term. Until then, acceptsChunks is not known.
+	// responded reports whether the member has responded in this term. Before the first response, acceptsChunks is not known.
 	responded     bool
 	acceptsChunks bool
 	transfer      blobTransfer
@@ -32,14 +32,15 @@
 // at each compaction might never end.
 type blobTransfer struct {
 	sender   BlobSender
-	snapshot *Snapshot   // without State, which is sent in chunks
-	entry    *Entry      // without Data, which is sent in chunks; nil for a snapshot
-	previous logPosition // the position that the member's log must contain before the transferred data
+	snapshot *Snapshot // without State, which is sent in chunks
+	entry    *Entry    // without Data, which is sent in chunks; nil for a snapshot
+	// previous is the entry after which the data is appended. For a snapshot, it is the last entry that the snapshot includes.
+	previous logPosition
 }
 
 func (b *blobTransfer) isActive() bool { return b.sender.Blob != nil }
 
-// newProgress returns the progress of a member about which nothing is known in this term.
+// newProgress returns the progress of a member that has not responded in this term.
 func (r *Replica) newProgress(m Member) *progress {
 	return &progress{
 		Member:         m,
--- a/internal/gateway/replication/quorum.go
+++ b/internal/gateway/replication/quorum.go
@@ -14,11 +14,12 @@
 // Members returns the member list in effect; nil before the bootstrap.
 func (r *Replica) Members() []Member { return r.latestConfig().members }
 
-// isLatestConfigCommitted reports whether the member list in effect is known to be committed. Until then, the configuration is a
-// joint one.
+// isLatestConfigCommitted reports whether the member list in effect is known to be committed. An uncommitted member list forms a joint
+// configuration together with the list before it.
 func (r *Replica) isLatestConfigCommitted() bool { return r.latestConfig().index <= r.commitIndex }
 
-// previousMembers returns the older list of a joint configuration. An uncommitted list always has a predecessor.
+// previousMembers returns the older member list of a joint configuration. It must be called only if the latest list is not committed: an
+// uncommitted list always has a predecessor.
 func (r *Replica) previousMembers() []Member { return r.memberConfigs[len(r.memberConfigs)-2].members }
 
 // hasQuorum reports whether a condition holds for a majority of the members. In a joint configuration, it must also hold for a
@@ -46,8 +47,8 @@
 	return slices.ContainsFunc(r.Members(), func(m Member) bool { return m.ID == id })
 }
 
-// otherMembers returns all members except this one. In a joint configuration, it includes the members of both lists, because the
-// newer list may still be removed from the log.
+// otherMembers returns all members except this one. In a joint configuration, the result includes the members of both lists, because the
+// newer list is not committed and may still be removed from the log.
 func (r *Replica) otherMembers() []Member {
 	others := slices.Clone(r.Members())
 	if !r.isLatestConfigCommitted() {
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -6,15 +6,17 @@
 )
 
 // Reads use the ReadIndex method of Raft: if a majority still follows a leader after a read was requested, the leader has committed
-// everything that was acknowledged before the request. Heartbeats carry a sequence number, the read sequence, which members
-// acknowledge at once. One read sequence confirms all reads that were requested before it started. The next one starts when the
-// current one is confirmed.
+// everything that was acknowledged before the request. Heartbeats carry a number, the read sequence. The leader starts a read sequence
+// by increasing the number and sending it in a round of heartbeats. Members acknowledge the number at once. The read sequence is
+// confirmed once a majority has acknowledged its number or a higher one. A confirmed read sequence finishes all reads that were
+// requested before it started. The leader starts the next read sequence for later reads when the current one is confirmed, or with the
+// next regular heartbeat.
 
 // pendingRead is a read that finishes once its read sequence is confirmed.
 type pendingRead struct{ token, readSeq uint64 }
 
-// Read requests the index up to which the host's state must be applied to include everything that was acknowledged before. The
-// index is in the Outcome.
+// Read requests a read index. The Outcome contains this index. Once the host has applied all entries up to the index, its state includes
+// everything that was acknowledged before the call of Read.
 func (r *Replica) Read(token uint64) {
 	if r.role != roleLeader || len(r.reads) >= r.config.MaxPending {
 		r.finishRequest(token, 0, r.admissionStatus(len(r.reads)))
@@ -24,7 +26,8 @@
 	r.replicationPending = true
 }
 
-// startReadSeq starts the next read sequence if reads are pending for it. It reports whether it did.
+// startReadSeq starts the next read sequence if reads wait for it, and reports whether the read sequence was started. The caller sends
+// the heartbeats.
 func (r *Replica) startReadSeq() bool {
 	if n := len(r.reads); n == 0 || r.reads[n-1].readSeq <= r.readSeq {
 		return false
@@ -66,8 +69,8 @@
 	return confirmed
 }
 
-// finishConfirmedReads finishes the reads whose sequence is confirmed. It requires that an entry of this term is committed: before
-// that, entries that an earlier leader acknowledged may not be known to be committed.
+// finishConfirmedReads finishes the reads whose read sequence is confirmed. It does nothing before an entry of this term is committed:
+// until then, this leader may not know that entries that an earlier leader acknowledged are committed.
 func (r *Replica) finishConfirmedReads() {
 	if r.role != roleLeader || len(r.reads) == 0 || r.commitIndex < r.termStartIndex && !r.hasMutation(readBeforeNoOp) {
 		return
@@ -82,6 +85,6 @@
 	}
 	r.reads = r.reads[finishedCount:]
 	if len(r.reads) > 0 && confirmed >= r.readSeq {
-		r.replicationPending = true // starts the sequence for the reads that were requested in the meantime
+		r.replicationPending = true // starts the next read sequence, for the reads that were requested after this one started
 	}
 }
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -53,13 +53,13 @@
 
 	// State of a follower.
 	role                role
-	leaderID            MemberID // leader of the current term; 0: not known
-	leaderContactAt     time.Duration
-	matchIndex          uint64       // the log equals the leader's up to this index
-	readSeq             uint64       // follower: the newest received from the leader; leader: the newest sent
-	ackedReadSeq        uint64       // the newest acknowledged to the leader
-	replicatedElsewhere uint64       // as last sent by the leader: see IndexReplicatedElsewhere
-	incoming            BlobReceiver // chunks from the leader
+	leaderID            MemberID      // leader of the current term; 0: not known
+	leaderContactAt     time.Duration // last message from the leader, or a later vote for a candidate
+	matchIndex          uint64        // the log equals the leader's up to this index
+	readSeq             uint64        // follower: the newest received from the leader; leader: the newest sent
+	ackedReadSeq        uint64        // the newest acknowledged to the leader
+	replicatedElsewhere uint64        // the leader's last Message.ReplicatedElsewhere: see IndexReplicatedElsewhere
+	incoming            BlobReceiver  // chunks from the leader
 
 	// Elections: see election.go.
 	sawLeader         bool // a leader of any term was seen since the process started
@@ -69,10 +69,10 @@
 	announcedDeadline time.Duration            // the deadline of the last Wake
 	maxSeenTerm       uint64                   // highest term in any message of this cluster
 	preVoteSeq        uint64                   // number of the current pre-vote attempt
-	preVotes          map[MemberID]bool        // members that have lost the leader
+	preVotes          map[MemberID]bool        // members that granted the current pre-vote
 	votes             map[MemberID]logPosition // last log position of each voter
 	voteRequests      map[MemberID]Member      // members to which a vote request was sent
-	fetchingLogFrom   MemberID
+	fetchingLogFrom   MemberID                 // voter that was asked for its newer log; 0: none
 
 	// Quorum contact: see contact.go.
 	clock         Clock
@@ -83,7 +83,7 @@
 	peers                      map[MemberID]*progress // members of all lists in effect, and the learner
 	termStartIndex             uint64                 // index of the no-op entry that started the term
 	nextHeartbeatAt            time.Duration
-	proposals                  map[uint64]uint64 // token by log index
+	proposals                  map[uint64]uint64 // proposals without an Outcome: token by log index
 	reads                      []pendingRead
 	replicationPending         bool          // entries or reads must be sent before Next returns false
 	snapshotBlob               *Blob         // the state of the latest snapshot, if it was sent in chunks
@@ -96,13 +96,13 @@
 	learnerConfig      memberConfig               // takes effect once the learner has caught up; nil members delay the promotion
 	learnerStartedAt   time.Duration
 	learnerProgressAt  time.Duration // when the learner started or last acknowledged new entries
-	lastDroppedLearner MemberID
+	lastDroppedLearner MemberID      // 0: no learner was dropped
 
-	actions []Action // returned by Next, in order
+	actions []Action // actions that Next has not returned yet, in order
 }
 
-// New returns a replica that continues from the state on disk. The host may count time from any start, but must use the same one for
-// all calls. The seed determines the random delays.
+// New returns a replica that continues from the state on disk. `now` is the time since any fixed start, for example the start of the
+// process. The host must use the same start for all calls. The seed determines the random delays.
 func New(self Member, state PersistentState, config Config, seed int64, now time.Duration) *Replica {
 	invariant.Assert(self.ID != 0 && self.ID == state.ID, "the member ID is not 0 and equals the ID on disk")
 	r := &Replica{
@@ -139,8 +139,8 @@
 	return r
 }
 
-// Tick advances the time. After a suspension of the process, the host must call Tick before it passes on messages that arrived
-// meanwhile. A leader that has lost its quorum then steps down before it answers any message.
+// Tick advances the time. After a suspension of the process, the host must call Tick before it passes on messages that arrived during
+// the suspension. A leader that has lost its quorum then steps down before it answers any message.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
 	switch {
@@ -206,8 +206,8 @@
 	r.proposals[index] = token
 }
 
-// admissionStatus returns why a proposal or a read is refused while `pending` requests of its kind are pending. It returns
-// OutcomeCommitted if the request is accepted.
+// admissionStatus returns the status with which a proposal or a read is refused. `pending` is the number of proposals or reads that are
+// already pending. If the request is accepted, it returns OutcomeCommitted.
 func (r *Replica) admissionStatus(pending int) OutcomeStatus {
 	switch _, _, known := r.Leader(); {
 	case r.role != roleLeader && known:
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -28,8 +28,9 @@
 }
 
 // BlobToSend returns the snapshot for a receiver that lacks the entries from nextIndex on. inTransfer contains the blobs that are
-// being sent to other receivers. BlobToSend prefers one of these if the log still has the entries after the blob. Otherwise it
-// returns the latest snapshot. It returns nil if maxOutdatedBlobs older blobs are in transfer; the receiver must then retry later.
+// being sent to other receivers. If one of these blobs is new enough for the receiver, and the log still has the entries after the
+// blob, BlobToSend returns that blob. If none is suitable, it returns the latest snapshot. If maxOutdatedBlobs older blobs are already
+// in transfer, it returns nil, and the caller must try again later.
 func (r *Replica) BlobToSend(nextIndex uint64, inTransfer []*Blob) *Blob {
 	outdated := 0
 	for i, b := range inTransfer {
@@ -46,8 +47,8 @@
 	return r.latestSnapshotBlob()
 }
 
-// sendSnapshot sends the snapshot to a member. It uses a single message if the snapshot is small or the member does not support
-// chunks.
+// sendSnapshot sends the snapshot to a member that responded recently. It uses a single message if the snapshot is small or the member
+// does not support chunks. It sends nothing while the leader does not know whether the member supports chunks.
 func (r *Replica) sendSnapshot(peer *progress) {
 	if !r.isRecentlyActive(peer) {
 		return
@@ -111,7 +112,7 @@
 	}
 	t := &peer.transfer
 	if t.snapshot == nil && t.sender.ackedBytes == 0 && peer.nextIndex < r.log.firstIndex() {
-		// The entry was compacted and the member has received nothing of it. The snapshot includes the entry.
+		// The entry was compacted, and the member has acknowledged none of its bytes. The snapshot includes the entry.
 		peer.transfer = blobTransfer{}
 		r.sendSnapshot(peer)
 		return
@@ -159,7 +160,7 @@
 }
 
 // wantsChunk reports whether a chunk is part of data that this member lacks and could append now. If the member already has the
-// entry, wantsChunk changes the message to name that entry, so that the acknowledgement includes the entry.
+// entry, wantsChunk sets Index and LogTerm of the message to that entry, so that the acknowledgement includes the entry.
 func (r *Replica) wantsChunk(m *Message, c *Chunk) bool {
 	if m.Snapshot != nil {
 		return r.needsSnapshot(m.Snapshot)
@@ -172,7 +173,8 @@
 	return c.Index > r.commitIndex && !previousMissing
 }
 
-// ackChunk acknowledges the bytes received so far.
+// ackChunk sends the leader the acknowledgement of the bytes of a blob that this member has received so far. `joining` means that this
+// member does not belong to the leader's cluster yet.
 func (r *Replica) ackChunk(from MemberID, m Message, ack *Chunk, joining bool) {
 	if !joining {
 		r.resetElectionDeadline()
@@ -185,7 +187,7 @@
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
-// attachData sets the snapshot state or the entry data of an append that was received in chunks.
+// attachData puts the data that was received in chunks into the message, as the state of its snapshot or the data of its entry.
 func (m *Message) attachData(data []byte) {
 	if m.Snapshot != nil {
 		snapshot := *m.Snapshot
@@ -198,12 +200,14 @@
 	m.Entries = []Entry{e}
 }
 
-// needsSnapshot reports whether a snapshot is newer than the committed log of this member and not part of the log.
+// needsSnapshot reports whether this member needs a snapshot: its index is above the commit index, and this member's log does not
+// contain the last entry that the snapshot includes.
 func (r *Replica) needsSnapshot(s *Snapshot) bool {
 	return s != nil && s.Index > r.commitIndex && !r.log.hasEntry(s.Index, s.Term)
 }
 
-// installSnapshotIfNewer replaces the log and the host's state by a snapshot that this member needs. nil means no snapshot.
+// installSnapshotIfNewer replaces the log and the host's state by a snapshot, if this member needs the snapshot. It does nothing if the
+// snapshot is nil.
 func (r *Replica) installSnapshotIfNewer(s *Snapshot) {
 	if !r.needsSnapshot(s) {
 		return
--- a/internal/gateway/replication/state.go
+++ b/internal/gateway/replication/state.go
@@ -12,7 +12,7 @@
 	ClusterID uint64   // 0 on an empty disk
 	Term      uint64   // the newest term in which this member voted or followed a leader
 	Vote      MemberID // the candidate that got this member's vote in Term, or the leader of Term
-	Commit    uint64   // committed at least up to this index
+	Commit    uint64   // the log is committed at least up to this index
 	Snapshot  Snapshot
 	Entries   []Entry // entries from Snapshot.Index+1 on
 }
@@ -70,7 +70,7 @@
 	Entries    []Entry
 }
 
-// Merge returns a single write with the combined effect of w and then next.
+// Merge returns a single write that has the same effect as w followed by next.
 func (w Write) Merge(next Write) Write {
 	if s := next.Snapshot; s == nil {
 		next.Snapshot = w.Snapshot
--- a/internal/gateway/replication/status.go
+++ b/internal/gateway/replication/status.go
@@ -18,7 +18,8 @@
 	Pending          int    // number of pending proposals and reads
 }
 
-// Status returns a summary of the replica.
+// Status returns a summary of this member for operators: its role and term, the member lists and the bounds of its log. The summary shows
+// what this member knows, which may be outdated.
 func (r *Replica) Status() Status {
 	leader, _, _ := r.Leader()
 	return Status{
@@ -37,10 +38,11 @@
 	}
 }
 
-// CommitIndex returns the index up to which entries are known to be committed.
+// CommitIndex returns the index up to which this member knows the log to be committed.
 func (r *Replica) CommitIndex() uint64 { return r.commitIndex }
 
-// Leader returns the current term and its leader. It returns false if no leader is known here.
+// Leader returns the current term and its leader. It returns false if this member does not know the leader, or has received no message
+// from the leader for longer than Config.QuorumTimeout.
 func (r *Replica) Leader() (leader Member, term uint64, known bool) {
 	if r.leaderID == r.self.ID {
 		return r.self, r.term, true
@@ -56,13 +58,13 @@
 	return Member{}, r.term, false
 }
 
-// IsLeader reports whether this member is the leader and was recently in contact with a majority. Only a Read confirms that it still
-// is the leader at the moment.
+// IsLeader reports whether this member considers itself the leader. A leader steps down if a majority has not responded within
+// Config.QuorumTimeout. Only a Read confirms that no newer leader exists at the moment.
 func (r *Replica) IsLeader() bool { return r.role == roleLeader }
 
 // LeaderTerm returns the current term, and whether this member is its leader and has committed an entry of the term. In that case,
-// everything that was acknowledged in earlier terms is committed here. Only a Read confirms that the member still is the leader at
-// the moment.
+// this member has committed everything that was acknowledged in earlier terms. Only a Read confirms that no newer leader exists at the
+// moment.
 func (r *Replica) LeaderTerm() (term uint64, leads bool) {
 	return r.term, r.role == roleLeader && r.commitIndex >= r.termStartIndex
 }
--- a/internal/gateway/replication/transfer.go
+++ b/internal/gateway/replication/transfer.go
@@ -3,8 +3,8 @@
 // Leadership transfer: the leader refuses proposals until another member has its complete log. Then it asks that member to start an
 // election at once, without a pre-vote.
 
-// TransferLeadership transfers the leadership to another member as soon as one has all entries. Until then, proposals are refused. If
-// there is no new leader after Config.QuorumTimeout, this member accepts proposals again.
+// TransferLeadership transfers the leadership to another member as soon as a member has all entries. Proposals are refused during the
+// transfer. If there is no new leader after Config.QuorumTimeout, this member accepts proposals again.
 func (r *Replica) TransferLeadership() {
 	if r.role == roleLeader && r.now >= r.leadershipTransferDeadline {
 		r.leadershipTransferDeadline = r.now + r.config.QuorumTimeout
@@ -12,7 +12,8 @@
 	}
 }
 
-// TransferLeadershipTo transfers the leadership to a certain member, or to any other member if that one does not respond.
+// TransferLeadershipTo transfers the leadership to the member with this ID. If that member does not respond, any other member may become
+// the new leader.
 func (r *Replica) TransferLeadershipTo(id MemberID) {
 	r.transferee = id
 	r.TransferLeadership()
@@ -38,7 +39,8 @@
 	}
 }
 
-// isEligibleTransferee reports whether a member may become the new leader. If the preferred member is active, only that one may.
+// isEligibleTransferee reports whether a member may become the new leader. While the preferred member (transferee) responds, only the
+// preferred member may.
 func (r *Replica) isEligibleTransferee(peer *progress) bool {
 	if !r.isRecentlyActive(peer) || !r.isMember(peer.ID) {
 		return false
--- a/internal/gateway/replication/wire.go
+++ b/internal/gateway/replication/wire.go
@@ -1,10 +1,11 @@
 package replication
 
-// This file contains the types that gob encodes for messages of the configuration log between nodes of two software versions. Gob
-// matches fields by name, so the fields keep the names that they had in the first version. Only the conversions in this file and
-// the code that handles chunks use these fields.
+// This file contains the types that gob encodes for messages of the configuration log. During a roll-out, nodes of the old and of the new
+// software version exchange these messages. Gob matches fields by name, so the fields keep the names that they had in the first
+// version. Only the conversions in this file and the code that handles chunks use these fields.
 //
-// Messages of the coordination groups use the compact form of codec.go, which contains no names and needs no conversion.
+// A coordination group is a part of the cluster's data with its own log beside the configuration log. Messages of these logs use the
+// compact form of codec.go, which contains no names and needs no conversion.
 
 // Chunk is a part of a Blob. Without Data, it is an acknowledgement of all bytes before Offset. Frames and messages contain Chunk
 // in this form. Other code identifies the blob by its blobID.
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -1,7 +1,7 @@
 package replication
 
-// maxBatchBytes limits the groups' writes in one transaction. The limit bounds the time for which a group transaction delays the
-// next write of the configuration log. The first write is always included.
+// maxBatchBytes is the maximum total size of the writes of coordination groups in one transaction. It limits the time for which a
+// transaction delays the next write of the configuration log. A larger write is included if it is the first one of a group.
 const maxBatchBytes = 256 << 10
 
 // WriteQueue collects the writes of a node's replicas while the node's disk is busy, and selects the writes of the next transaction.
@@ -10,10 +10,10 @@
 type WriteQueue struct {
 	knobs        TestingKnobs
 	pending      map[LogID]*Write
-	nextGroupLog LogID // log whose write is taken first
+	nextGroupLog LogID // coordination group whose write is taken first; 0: the first group
 }
 
-// Put adds a write after the pending writes of the same log.
+// Put adds a write to a log. If a write to this log is pending, the two writes are merged.
 func (w *WriteQueue) Put(log LogID, write Write) {
 	if w.pending == nil {
 		w.pending = map[LogID]*Write{}
