--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -11,10 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// Each mutation must be detected: by the explorer, by a walk or by a test of its own. A release build has no mutations. With the build tag
-// testingknobs, violated invariants are only counted and don't panic, so that the tests themselves must detect the fault.
+// Each mutation must be detected by the explorer (see explore), by a random walk (see walk) or by a test of its own. A release build has
+// no mutations. With the build tag testingknobs, violated invariants are only counted and do not panic, so that the tests themselves
+// must detect the fault.
 
-// String returns what a replica with the mutation does wrong.
+// String returns what a replica with the mutation does wrong. A read sequence is the number of a round of heartbeats that confirms the
+// leadership for reads: see read.go. Quorum contact is the last time at which a majority is known to have followed the leader: see
+// contact.go.
 func (m mutation) String() string {
 	return [...]string{
 		noMutation:            "none",
@@ -23,43 +26,43 @@
 		acceptStaleTerm:       "a former leader's appends are accepted",
 		forgetVotes:           "votes are not written to disk",
 		skipTruncation:        "conflicting entries are kept",
-		commitEarlierTerms:    "entries of earlier terms are committed by counting",
-		singleMajority:        "a change of members needs one majority only",
-		skipReadSeq:           "a read is answered without a confirmed read sequence",
+		commitEarlierTerms:    "entries of earlier terms are committed once a majority has them",
+		singleMajority:        "a joint configuration needs only the majority of the new member list",
+		skipReadSeq:           "a read is answered before a majority has acknowledged its read sequence",
 		voteBeforeSync:        "a vote is sent before it is on disk",
 		voteTwice:             "a member votes twice in a term",
 		electByMinority:       "a candidate leads with one vote too few",
 		leadWithoutNewestLog:  "a candidate leads without the newest log",
 		skipLogMatching:       "entries are appended after an entry of another term",
 		countLearner:          "a learner counts for a majority",
-		countStaleAcks:        "an acknowledgement of an earlier term counts",
+		countStaleAcks:        "an acknowledgement of an earlier term counts for a majority",
 		keepFinishedProposals: "a proposal has two outcomes",
 		readBeforeNoOp:        "a read is answered before the term's no-op is committed",
 		joinOtherAfterVote:    "a disk that has voted joins another cluster",
-		skipTieBreak:          "two candidates of a term both need another time-out",
-		shareClusterID:        "all logs have one cluster ID",
-		loseMergedWrite:       "the first of two pending writes is lost",
-		syncOtherLog:          "a write counts as synced with another log's write",
+		skipTieBreak:          "two candidates of one term both wait for another election timeout",
+		shareClusterID:        "all logs of a disk have the same cluster ID",
+		loseMergedWrite:       "the first of two merged writes is lost",
+		syncOtherLog:          "a write counts as synced once a write of another log is synced",
 		mixBlobs:              "chunks of two blobs are joined",
 		skipChunks:            "a missing chunk is skipped",
 		installPartial:        "a snapshot is installed before it is complete",
-		abandonTransfer:       "a newer snapshot replaces the one under transfer",
-		contactFromAckTime:    "contact counts from the receipt of an acknowledgement",
-		contactFromAppendTime: "contact counts from the receipt of an append",
-		contactBeforeNoOp:     "contact is reported before the term's no-op is committed",
-		contactWhileLeading:   "a leader always reports contact",
-		contactBeforeCommit:   "a follower that lacks committed entries reports contact",
+		abandonTransfer:       "a newer snapshot replaces the snapshot in transfer",
+		contactFromAckTime:    "the leader takes the arrival of a response as the time of a member's contact",
+		contactFromAppendTime: "a follower takes the arrival of an append as the time of quorum contact",
+		contactBeforeNoOp:     "quorum contact is reported before the term's no-op is committed",
+		contactWhileLeading:   "a leader always reports quorum contact at the present time",
+		contactBeforeCommit:   "a follower that lacks committed entries reports quorum contact",
 		neverReplace:          "lost members are not replaced",
-		promoteEarly:          "a learner becomes a member before it has the state",
+		promoteEarly:          "a learner becomes a member before it has the committed entries",
 		replaceAtOnce:         "a member that restarts is replaced at once",
 		shrinkBelowMinimum:    "lost members are removed until too few are left",
-		keepDeadLearner:       "a learner that is gone blocks the next one",
-		drainEarly:            "a draining member shuts down too early",
-		lostFromDetection:     "a loss counts from its detection",
+		keepDeadLearner:       "a learner that does not respond prevents another learner",
+		drainEarly:            "a draining member shuts down before the other members have its entries",
+		lostFromDetection:     "a member counts as lost only from when the host detects the loss",
 	}[m]
 }
 
-// Guards against an explorer that overlooks faults: it must detect the mutations of each scenario.
+// Guards against an explorer that overlooks faults: explore must detect the mutations of each scenario.
 func TestAllOrdersFindMutations(t *testing.T) { requireExplorerDetectsMutations(t, scenarios) }
 
 // Guards against an explorer that overlooks wrong reports of quorum contact.
@@ -76,15 +79,15 @@
 				t.Parallel()
 				began := time.Now()
 				seen, violation := explore(s.build(planted), stateLimit(20_000))
-				t.Log(seen, "states,", time.Since(began), violation)
+				t.Log("states:", seen, "time:", time.Since(began), "violation:", violation)
 				must.NotEq(t, "", violation)
 			})
 		}
 	}
 }
 
-// Guards against an explorer that overlooks the faults which shared disks and links make possible. Each mutation must be detected in the
-// scenario of that index.
+// Guards against an explorer that overlooks the faults that are possible only because several logs share disks and links. Each mutation
+// must be detected in the scenario of sharedScenarios that has the index given here.
 func TestAllOrdersOverOneDiskFindMutations(t *testing.T) {
 	for planted, index := range map[mutation]int{syncOtherLog: 0, ackUnsynced: 0, forgetVotes: 1, voteBeforeSync: 1, loseMergedWrite: 3, shareClusterID: 4} {
 		t.Run(planted.String(), func(t *testing.T) {
@@ -97,7 +100,7 @@
 	}
 }
 
-// requireMutationsDetected requires that each mutation is detected within a number of walks.
+// requireMutationsDetected requires that each mutation is detected in at least one of walkCount walks with different seeds.
 func requireMutationsDetected(t *testing.T, run func(*testing.T, int64, mutation) *walk, walkCount int64, mutations ...mutation) {
 	t.Helper()
 	for _, planted := range mutations {
@@ -106,11 +109,11 @@
 			began := time.Now()
 			for seed := range walkCount {
 				if w := run(t, seed, planted); w.violation != "" {
-					t.Log("seed", seed, time.Since(began), w.violation)
+					t.Log("seed:", seed, "time:", time.Since(began), "violation:", w.violation)
 					return
 				}
 			}
-			t.Fatal("mutation not detected in any walk")
+			t.Fatal("mutation not detected: no walk violated an invariant")
 		})
 	}
 }
@@ -120,7 +123,7 @@
 	requireMutationsDetected(t, runFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
-// Guards against walks that overlook the same faults with the configuration of a coordination group.
+// Guards against walks that overlook faults in reads and outcomes with the configuration of a coordination group (GroupConfig).
 func TestWalksOfGroupsFindMutations(t *testing.T) {
 	requireMutationsDetected(t, runGroupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
@@ -130,38 +133,38 @@
 	requireMutationsDetected(t, runContactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
 }
 
-// Guards against walks that overlook wrong changes of members.
+// Guards against walks that overlook wrong changes of the member list.
 func TestReplacementWalksFindMutations(t *testing.T) {
 	requireMutationsDetected(t, runReplacementWalk, 60, neverReplace, replaceAtOnce, shrinkBelowMinimum, keepDeadLearner)
 }
 
-// Guards against a check that overlooks a snapshot transfer which starts over at each compaction.
+// Guards against a check that overlooks a snapshot transfer that starts again from offset 0 at each compaction.
 func TestSnapshotInTransferFindsMutation(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	c := newCluster(3, 0, abandonTransfer, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers(state...)
 	bytes, _, caughtUp := catchUpThirdMember(c, 400)
-	must.True(t, !caughtUp || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected"))
+	must.True(t, !caughtUp || bytes > 2*len(state)+2*40, must.Sprint("mutation not detected: the member caught up with few bytes"))
 }
 
-// Guards against a check that overlooks a member which drains too early.
+// Guards against a check that overlooks a draining member that shuts down before the other members have its entries.
 func TestDrainingFindsMutation(t *testing.T) {
 	atOnce, _ := drainWithSlowDisk(t, drainEarly)
 	must.True(t, atOnce)
 }
 
-// Guards against a check that overlooks a disk which joins another cluster and so forgets its vote for a candidate of the first one.
+// Guards against a check that overlooks a disk that joins a second cluster and so forgets its vote in the first cluster.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
 	c, last, other := newTwoClusters(joinOtherAfterVote, true)
 	must.Eq(t, other.clusterID, last.clusterID)
 	must.Eq(t, c.members[2].disk.ClusterID, last.clusterID)
 }
 
-// Guards against a check that overlooks a replacement which is delayed until the loss is detected.
+// Guards against a check that overlooks that a lost member is replaced too late, because its loss counts only from its detection.
 func TestLostMemberIsReplacedWithinCatchUpTimeFindsMutation(t *testing.T) {
 	must.StrContains(t, loseLeaderAfterReplacement(t, lostFromDetection), "no proposal was committed within 5 s")
 }
 
-// Guards against a check that overlooks two candidates of one term that both wait for another time-out.
+// Guards against a check that overlooks slow elections, where two candidates of one term both wait for another election timeout.
 func TestTwoMembersElectLeaderSoonFindsMutation(t *testing.T) {
 	for _, syncDelay := range syncDelays {
 		longest, _ := electionTimes(t, syncDelay, noMutation)
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -25,7 +25,7 @@
 	hostStates     []string          // the host's state after each entry of committed
 	ackedIndex     uint64            // the highest index that was acknowledged to a caller
 	ackedAtRead    map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
-	finishedTokens map[uint64]bool   // tokens that have an Outcome
+	finishedTokens map[uint64]bool   // tokens of proposals and reads that have an Outcome
 	partitioned    map[[2]int]bool   // links that lose all messages, each from one node to another
 	lastToken      uint64
 	lastMemberID   MemberID
@@ -33,15 +33,15 @@
 	ackedProposals int
 	// While faultless is true, no faults are injected and no message is lost, duplicated or late.
 	faultless      bool
-	minMembers     int           // a member list must not get shorter than this
+	minMembers     int           // minimum length of a member list; 0: not checked
 	detectionDelay time.Duration // time until a host detects that a node has stopped
 	syncDelay      time.Duration // added to the duration of each sync
 	config         Config
-	bytesSent      map[int]int // of state and data that were sent, by receiving node
-	violation      string
+	bytesSent      map[int]int // bytes of snapshot states and entry data that were sent to each node, by node index
+	violation      string      // the first violated invariant; empty: none
 
 	acks        []acknowledgement        // acknowledged proposals, in the order of time
-	leaderSince map[uint64]time.Duration // by term: when it was first seen to have a leader
+	leaderSince map[uint64]time.Duration // by term: when the term was first seen to have a leader
 }
 
 // simNode is a node of a walk, with its replica, which is nil while the process does not run, and its simulated disk.
@@ -51,7 +51,7 @@
 	// incarnation counts the starts and stops of the process.
 	incarnation   int
 	diskBusyUntil time.Duration // the disk completes no write before this time
-	// deadline is that of the last Wake.
+	// deadline is the Deadline of the last Wake.
 	deadline time.Duration
 	// appliedIndex is the index of the last applied entry, and hostState the state after it.
 	appliedIndex        uint64
@@ -61,27 +61,27 @@
 	lastWrite           Write
 	suspendedUntil      time.Duration // the process is suspended until this time
 	draining            bool
-	formerMember        Member        // the member that stop ended last
-	stoppedAt           time.Duration // when stop ended it
+	formerMember        Member        // the member that ran here before the last call of stop
+	stoppedAt           time.Duration // time of the last call of stop
 }
 
-// event is an action at a time.
+// event is a function that the simulation calls once the simulated time reaches the event's time.
 type event struct {
 	time   time.Duration
 	action func()
 }
 
-// schedule schedules do to be called after a delay.
+// schedule schedules a call of the function do after a delay.
 func (w *walk) schedule(delay time.Duration, do func()) {
 	w.events = append(w.events, event{w.now + delay, do})
 }
 
-// randomDelay returns a random duration of at most n milliseconds.
+// randomDelay returns a random duration of at most maxMillis milliseconds.
 func (w *walk) randomDelay(maxMillis int) time.Duration {
 	return time.Duration(w.rng.Intn(maxMillis*1000)+1) * time.Microsecond
 }
 
-// start starts the node at nodeIndex with what its disk has.
+// start starts the node at nodeIndex with the contents of its disk.
 func (w *walk) start(nodeIndex int) {
 	node := w.nodes[nodeIndex]
 	node.incarnation++
@@ -98,14 +98,14 @@
 	w.start(nodeIndex)
 }
 
-// crashFor crashes the node at nodeIndex and calls then for it after a delay.
+// crashFor crashes the node at nodeIndex. After the downtime, it calls the function then with the node's index.
 func (w *walk) crashFor(nodeIndex int, downtime time.Duration, then func(int)) {
 	w.nodes[nodeIndex].replica = nil
 	w.nodes[nodeIndex].incarnation++
 	w.schedule(downtime, func() { then(nodeIndex) })
 }
 
-// recordViolation records a violation of an invariant with its time, if it is the first one.
+// recordViolation records the first violation of an invariant with its time. Later violations are ignored.
 func (w *walk) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
@@ -173,7 +173,7 @@
 	w.checkQuorumContact(nodeIndex)
 }
 
-// checkStaleLeader checks that the leader at nodeIndex, which lacks an acknowledged entry, leads an earlier term and not the newest one.
+// checkStaleLeader checks a leader that lacks an acknowledged entry: another node must already have a newer term on disk.
 func (w *walk) checkStaleLeader(nodeIndex int) {
 	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[nodeIndex].replica.term }) {
 		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", nodeIndex, w.ackedIndex)
@@ -254,7 +254,8 @@
 	node.lastWrite = write
 }
 
-// proposalData returns data that contains the token. One token in eight has longer data, so that it goes in chunks where the seed is odd.
+// proposalData returns the data of a proposal, which contains the token. For one token in eight, the data is padded to 11 bytes. This
+// exceeds the MaxInflightBytes that newWalkWithConfig sets for odd seeds, so that such an entry is sent in chunks.
 func proposalData(token uint64) []byte {
 	if token%8 == 0 {
 		return fmt.Appendf(nil, "%011d", token)
@@ -262,7 +263,7 @@
 	return strconv.AppendUint(nil, token, 10)
 }
 
-// payloadBytes returns how many bytes of state and data a message has.
+// payloadBytes returns the number of bytes of snapshot state, chunk data and entry data in a message.
 func payloadBytes(m Message) (n int) {
 	if m.Snapshot != nil {
 		n += len(m.Snapshot.State)
@@ -276,7 +277,7 @@
 	return n
 }
 
-// leaderIndex returns which node leads the newest term; -1 if none leads.
+// leaderIndex returns the index of the node that leads the newest term. It returns -1 if no node is a leader.
 func (w *walk) leaderIndex() (index int) {
 	index = -1
 	for i, node := range w.nodes {
@@ -287,8 +288,8 @@
 	return index
 }
 
-// allMembersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be
-// lost again.
+// allMembersInSync reports whether all members run and have the newest member list on disk as committed. A fault may erase a disk only
+// if this is true.
 func (w *walk) allMembersInSync() bool {
 	leader := w.leaderIndex()
 	if leader < 0 || !w.nodes[leader].replica.canReconfigure() {
@@ -305,7 +306,7 @@
 	return true
 }
 
-// issueRequests sends up to two proposals or reads, most of them to the leader, and schedules the next call.
+// issueRequests issues up to two proposals or reads, most of them at the leader, and schedules its own next call.
 func (w *walk) issueRequests() {
 	for range w.rng.Intn(3) {
 		w.lastToken++
@@ -325,7 +326,7 @@
 	w.schedule(w.randomDelay(120), w.issueRequests)
 }
 
-// injectFault injects a random fault and schedules the next call.
+// injectFault injects a random fault and schedules its own next call. It does nothing once the walk is faultless.
 func (w *walk) injectFault() {
 	if w.faultless {
 		return
@@ -413,11 +414,11 @@
 	return newWalkWithConfig(t, DefaultConfig(), nodeCount, initialMembers, seed, planted)
 }
 
-// newWalkWithConfig is newWalkWithMembers with another Config than the default.
+// newWalkWithConfig returns a walk like newWalkWithMembers, but with the given Config instead of DefaultConfig.
 func newWalkWithConfig(t *testing.T, config Config, nodeCount, initialMembers int, seed int64, planted mutation) *walk {
 	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), config: config, bytesSent: map[int]int{}}
 	w.config.TestingKnobs = knobsFor(planted)
-	// Snapshots and one proposal in eight go in chunks.
+	// With an odd seed, data above 4 bytes is sent in chunks: all snapshots, and the longer one of eight proposals (see proposalData).
 	if seed%2 == 1 {
 		w.config.MaxInflightBytes, w.config.ChunkBytes, w.config.TrailingBytes = 4, 2, 300
 	}
@@ -437,22 +438,23 @@
 	return w
 }
 
-// runFaultWalk returns a finished walk with the faults of injectFault for 40 s, and 10 s without faults.
+// runFaultWalk runs a walk with the faults of injectFault until 40 s, and for 10 s more without faults. It returns the finished walk.
 func runFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return runWalkWithFaults(t, seed, planted, (*walk).injectFault, 40*time.Second)
 }
 
-// runWalkWithFaults returns a finished walk on three to five nodes, with faults until a time and 10 s without faults after it.
+// runWalkWithFaults runs a walk on three to five nodes, with faults until a simulated time and for 10 s more without faults. It returns
+// the finished walk.
 func runWalkWithFaults(t *testing.T, seed int64, planted mutation, injectFaults func(*walk), until time.Duration) *walk {
 	return newWalk(t, 3+int(seed%3), seed, planted).runWithFaults(injectFaults, until)
 }
 
-// runGroupFaultWalk is runFaultWalk with the configuration of a coordination group.
+// runGroupFaultWalk runs a walk like runFaultWalk, but with the configuration of a coordination group (GroupConfig).
 func runGroupFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return newWalkWithConfig(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
 
-// runWithFaults runs a walk with faults until a time and 10 s without faults after it.
+// runWithFaults runs a walk with faults until a simulated time, and for 10 s more without faults.
 func (w *walk) runWithFaults(injectFaults func(*walk), until time.Duration) *walk {
 	w.reconcileMembers(1)
 	w.issueRequests()
@@ -482,12 +484,12 @@
 // from the faults within 10 s.
 func TestWalksKeepInvariants(t *testing.T) { requireRecovery(t, runFaultWalk) }
 
-// Guards against the same faults with the configuration of a coordination group: shorter election time-outs, and read sequences that are
-// sent to a bare majority.
+// Guards against diverging logs, lost acknowledged entries and stale reads with the configuration of a coordination group, which has
+// shorter election timeouts and sends read sequences only to as many members as a majority needs.
 func TestWalksOfGroupsKeepInvariants(t *testing.T) { requireRecovery(t, runGroupFaultWalk) }
 
-// requireRecovery requires of each seed's walk that no invariant is violated, and that 10 s after the last fault a leader commits proposals
-// and all nodes are members that have nearly all acknowledged entries.
+// requireRecovery runs a walk for each seed. It requires that no invariant is violated. 10 s after the last fault, a leader must commit
+// proposals, and all nodes must be members that have applied all but the last 9 acknowledged entries.
 func requireRecovery(t *testing.T, run func(*testing.T, int64, mutation) *walk) {
 	forEachSeed(t, func(t *testing.T, seed int64) {
 		w := run(t, seed, noMutation)
@@ -504,8 +506,8 @@
 	})
 }
 
-// Guards against a leader that goes on leading while its messages arrive at the others but none arrive at it. It must step down within
-// QuorumTimeout and refuse proposals, and another member must lead.
+// Guards against a leader that continues to lead although it receives no messages, while its own messages still arrive at the other
+// members. The leader must step down within QuorumTimeout and refuse proposals, and another member must become leader.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
@@ -520,8 +522,8 @@
 	must.NotEq(t, leader, w.leaderIndex())
 }
 
-// Guards against a cluster without a leader where each sync takes longer than the first election time-out. Each failed election doubles the
-// time-out. Without that, no node led for as long as the disks of a machine were that slow.
+// Guards against a cluster that elects no leader because each sync takes longer than the first election timeout. Each failed election
+// doubles the timeout. Without this backoff, a cluster had no leader for as long as the disks were slow.
 func TestClusterWithSlowDisksElectsLeader(t *testing.T) {
 	for seed := range int64(20) {
 		w := newWalk(t, 3, seed, noMutation)
@@ -538,8 +540,8 @@
 	}
 }
 
-// Guards against a partitioned member that raises the term and deposes the leader when it comes back: the pre-vote must prevent that. Also
-// guards against a leadership transfer that takes longer than a few round trips.
+// Guards against a partitioned member that increases the term and deposes the leader when the partition heals: the pre-vote must keep the
+// term and the leader. Also guards against a leadership transfer that takes longer than a few round trips.
 func TestPreVoteAndLeadershipTransfer(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
@@ -559,7 +561,7 @@
 	must.Eq(t, term+1, w.nodes[leader].replica.term)
 }
 
-// newFaultlessWalk returns a walk on three nodes without faults that has had time to elect a leader.
+// newFaultlessWalk returns a walk on three nodes without faults. The walk has run for 3 s and has a leader.
 func newFaultlessWalk(t *testing.T) *walk {
 	w := newWalk(t, 3, 1, noMutation)
 	w.faultless = true
@@ -568,8 +570,8 @@
 	return w
 }
 
-// Guards against a bootstrap that is incomplete for good because its node stopped before the other members had the list. Any member returns
-// the list while nothing else is known to be committed, and an empty disk must accept it like the first one.
+// Guards against a bootstrap that stays incomplete forever, because the node that started it stopped before the other members had the member
+// list. Any bootstrapped member must return the list, also after a restart, and an empty disk on the list must accept it.
 func TestAnyMemberReturnsBootstrapMembers(t *testing.T) {
 	members := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
 	newReplica := func(id MemberID, state PersistentState) *Replica {
@@ -619,12 +621,12 @@
 	return longest, mean
 }
 
-// syncDelays are delays of syncs, from a fast disk to one that takes longer than the first election time-out.
+// syncDelays are the durations that are added to each sync, from a fast disk to a disk that is slower than the first election timeout.
 var syncDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
 
-// Guards against slow first elections between two members. Where a vote takes long to sync, both become candidates of the same
-// term, and neither gets a majority. Each then needed a longer time-out, up to seconds. Now the candidate with the lower ID starts
-// the next term at once.
+// Guards against slow first elections between two members. If a vote takes long to sync, both members become candidates of the same
+// term, and neither gets a majority. Earlier, both then waited for another and longer election timeout, up to seconds. Now the
+// candidate with the lower ID starts the next term at once.
 func TestTwoMembersElectLeaderSoon(t *testing.T) {
 	for _, syncDelay := range syncDelays {
 		longest, mean := electionTimes(t, syncDelay, noMutation)
--- a/internal/gateway/replication/writequeue.go
+++ b/internal/gateway/replication/writequeue.go
@@ -1,7 +1,7 @@
 package replication
 
 // maxBatchBytes is the maximum total size of the writes of coordination groups in one transaction. It limits the time for which a
-// transaction delays the next write of the configuration log. A larger write is included if it is the first one of a group.
+// transaction delays the next write of the configuration log. The first group write of a transaction is included whatever its size.
 const maxBatchBytes = 256 << 10
 
 // WriteQueue collects the writes of a node's replicas while the node's disk is busy, and selects the writes of the next transaction.
