--- a/internal/gateway/replication/codec_bench_test.go
+++ b/internal/gateway/replication/codec_bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// benchmarkMessages returns the messages that are most frequent on links, and the largest ones that one link message carries.
+// benchmarkMessages returns the most frequent messages (heartbeat, ack) and the largest messages that are sent without chunks (entries,
+// snapshot).
 func benchmarkMessages() map[string]Message {
 	members := []Member{{ID: 21, Addr: "10.0.0.1:7110"}, {ID: 22, Addr: "10.0.0.2:7110"}, {ID: 23, Addr: "10.0.0.3:7110"}}
 	data := bytes.Repeat([]byte("entry"), 50)
@@ -21,7 +22,7 @@
 	return map[string]Message{"heartbeat": heartbeat, "entries": entries, "snapshot": snapshot, "ack": ack}
 }
 
-// BenchmarkAppendMessage encodes into a buffer that is reused, as a link does.
+// BenchmarkAppendMessage encodes to the compact form. It reuses one buffer, like the code that sends messages over a link.
 func BenchmarkAppendMessage(b *testing.B) {
 	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -51,7 +52,8 @@
 	}
 }
 
-// BenchmarkGobEncodeMessage encodes as the configuration's log does: with one encoder for each link, so that types are sent once.
+// BenchmarkGobEncodeMessage encodes with gob, like the configuration log. Each link has one encoder, so the description of the types is
+// sent only once.
 func BenchmarkGobEncodeMessage(b *testing.B) {
 	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -70,7 +72,7 @@
 	}
 }
 
-// BenchmarkGobMessage encodes and decodes, with one encoder and one decoder for all messages.
+// BenchmarkGobMessage encodes and decodes with gob. One encoder and one decoder are used for all messages.
 func BenchmarkGobMessage(b *testing.B) {
 	for name, message := range benchmarkMessages() {
 		b.Run(name, func(b *testing.B) {
@@ -93,7 +95,7 @@
 	}
 }
 
-// BenchmarkGobEntry encodes and decodes an entry in the form on disk: each entry has its own type description.
+// BenchmarkGobEntry encodes and decodes an entry with gob, in the form on disk: the encoding of each entry includes a description of its type.
 func BenchmarkGobEntry(b *testing.B) {
 	entry := benchmarkMessages()["entries"].Entries[0]
 	b.ReportAllocs()
--- a/internal/gateway/replication/codec_test.go
+++ b/internal/gateway/replication/codec_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// codecMessages have each field of the compact form set in at least one message.
+// codecMessages are messages for the tests of the compact form. Each field of the compact form is set in at least one of the messages.
 var codecMessages = []Message{
 	{Kind: MsgAppend, ClusterID: 1<<32 - 1, Recipient: 1<<40 - 1, Term: 7, Index: 300, LogTerm: 7, Commit: 299, Seq: 12, ContactAgeMillis: -1},
 	{Kind: MsgAppend, ClusterID: 9, Recipient: 2, Term: 7, Index: 300, LogTerm: 6, ContactAgeMillis: -1,
@@ -22,8 +22,8 @@
 	{},
 }
 
-// Guards against fields that encoding or decoding changes. Decoding must return the bytes after the message, and an error for a
-// message that is truncated anywhere.
+// Guards against an encoding that loses or changes fields. DecodeMessage must return the bytes after the message, and an error for a message
+// that is truncated at any byte.
 func TestCompactFormRoundTrip(t *testing.T) {
 	for _, m := range codecMessages {
 		m.ContactAgeMillis = -1
@@ -40,8 +40,8 @@
 	must.Less(t, 32, len(AppendMessage(nil, &codecMessages[0])))
 }
 
-// Guards against malformed input that ends the process or takes more memory than it has bytes. A message that can be decoded must
-// be the same after it is encoded and decoded again.
+// Guards against malformed input that makes DecodeMessage panic or allocate much more memory than the size of the input. A message that can
+// be decoded must be the same after it is encoded and decoded again.
 func FuzzReadMessage(f *testing.F) {
 	for _, m := range codecMessages {
 		f.Add(AppendMessage(nil, &m))
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -8,9 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Quorum contact is checked by an observer that knows the state of all members. What was acknowledged before the reported time must be
-// committed at the member that reports. No term newer than the reported one may have had a leader before that time. A suspended member
-// reports nothing. What it reports after it resumes is checked against the time of that report.
+// Quorum contact is the last time at which a majority is known to have followed the leader. Each member reports a time and a term of quorum
+// contact. The tests check these reports with knowledge of the state of all members. Everything that was acknowledged before the reported
+// time must be committed at the reporting member. No term newer than the reported term may have had a leader before the reported time.
+// A suspended member reports nothing. Its report after the suspension is checked like any other report at that time.
 
 // advanceTime advances the time of the member at memberIndex to the simulated time, before any other input.
 func (c *cluster) advanceTime(memberIndex int) {
@@ -38,8 +39,8 @@
 	}
 }
 
-// enableQuorumContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps
-// time from starting an election.
+// enableQuorumContactChecks enables the check of quorum contact on c and returns c. The simulated time then advances only by steps. An
+// election timeout of one hour prevents that the time starts an election.
 func enableQuorumContactChecks(c *cluster) *cluster {
 	for _, s := range c.members {
 		s.replica.config.ElectionTimeout = time.Hour
@@ -53,7 +54,7 @@
 	return c
 }
 
-// contactScenarios check the invariants of quorum contact too.
+// contactScenarios are scenarios in which explore also checks the invariants of quorum contact.
 var contactScenarios = []scenario{
 	{"a former leader receives late acknowledgements", func(planted mutation) *cluster {
 		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
@@ -106,17 +107,18 @@
 	}, nil},
 }
 
-// Guards against reports of quorum contact that are too new. They would let a host act on state that is older than it assumes. All
-// orders of messages, syncs, elections and seconds that pass are taken, up to a number of states.
+// Guards against a reported time of quorum contact that is too new. A host would then act on state that is older than the host assumes. The
+// test takes all orders of messages, syncs, elections and steps of one second, up to a number of states.
 func TestContactInAllOrdersIsNeverTooNew(t *testing.T) { requireNoViolation(t, contactScenarios) }
 
-// acknowledgement is when the proposal at an index was acknowledged.
+// acknowledgement records the time at which the proposal at a log index was acknowledged.
 type acknowledgement struct {
 	time  time.Duration
 	index uint64
 }
 
-// deferWhileSuspended reports whether the process of a node is suspended. If so, it schedules act for the time when the process resumes.
+// deferWhileSuspended reports whether the process of a node is suspended. If the process is suspended, it schedules a call of act for the
+// end of the suspension.
 func (w *walk) deferWhileSuspended(node *simNode, act func()) bool {
 	if node.suspendedUntil <= w.now {
 		return false
@@ -148,8 +150,9 @@
 	}
 }
 
-// suspendOrPartition suspends a node, or blocks its links one way or both, for up to 5 s, many times as long as an election takes.
-// In at least two of three cases the node is the leader. Messages that wait in a suspended process or on a link arrive late.
+// suspendOrPartition suspends a node for up to 4 s, or partitions its links in one or both directions for up to 5 s. This is many times as
+// long as an election takes. If there is a leader, at least two of three nodes that are chosen are the leader. Messages to a suspended
+// node are handled after its suspension. It schedules its own next call, and does nothing once the walk is faultless.
 func (w *walk) suspendOrPartition() {
 	if w.faultless {
 		return
@@ -176,13 +179,13 @@
 	w.schedule(w.randomDelay(3000), w.suspendOrPartition)
 }
 
-// runContactWalk returns a finished walk with the faults of suspendOrPartition for 30 s, and 10 s without faults.
+// runContactWalk runs a walk with the faults of suspendOrPartition until 30 s, and for 10 s more without faults. It returns the finished walk.
 func runContactWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return runWalkWithFaults(t, seed, planted, (*walk).suspendOrPartition, 30*time.Second)
 }
 
-// Guards against reports of quorum contact that are too new while nodes are suspended or partitioned. 10 s after the last fault,
-// all nodes must have been in contact with a majority within five heartbeats.
+// Guards against a reported time of quorum contact that is too new while nodes are suspended or partitioned. 10 s after the last fault, the
+// quorum contact of all nodes must be less than five heartbeat intervals old.
 func TestContactOnWalksIsNeverTooNew(t *testing.T) {
 	for seed := range int64(stateLimit(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -12,22 +12,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedDisk is a state of several logs on the same disks, with a cluster for each log. All writes of a node go through one WriteQueue, and
-// a transaction of several logs is on disk completely or not at all. A message of one log may be delivered to another log.
+// sharedDisk is one state of a simulation in which several logs are on the same disks. Each log has its own cluster. All writes of a node
+// go through one WriteQueue, and a transaction with writes of several logs is on disk completely or not at all. A message of one log
+// may be delivered to another log.
 type sharedDisk struct {
 	logs      []*cluster
 	queues    []WriteQueue
-	writing   [][]LogWrite // by node: the transaction that is being written; nil: the disk is idle
+	writing   [][]LogWrite // by node index: the transaction that is being written; nil: the disk is idle
 	budget    sharedBudget
 	mutation  mutation
 	trace     *traceStep
 	violation string
 }
 
-// sharedBudget is how many more steps of each kind forEachNextStep may offer.
+// sharedBudget is the number of further steps of each kind that forEachNextStep may offer. A misrouted step delivers a message to the
+// next log.
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
-// newSharedDisk returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
+// newSharedDisk returns the initial state of a scenario: logCount logs on three disks. The first member leads each log. The scenario's
+// prepare function has been called.
 func newSharedDisk(logCount int, planted mutation, start sharedScenario) *sharedDisk {
 	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: start.budget, mutation: planted}
 	for log := range logCount {
@@ -40,8 +43,8 @@
 	return s
 }
 
-// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node
-// does after it has processed its input.
+// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk. A real node does
+// the same after it has processed its input.
 func (s *sharedDisk) beginWrites() {
 	for log, c := range s.logs {
 		if c.violation != "" && s.violation == "" {
@@ -84,7 +87,7 @@
 	}
 }
 
-// restart starts the node at nodeIndex again with what its disk has.
+// restart starts the node at nodeIndex again with the contents of its disk. Writes that are not on disk are lost.
 func (s *sharedDisk) restart(nodeIndex int) {
 	s.queues[nodeIndex], s.writing[nodeIndex] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, c := range s.logs {
@@ -92,7 +95,7 @@
 	}
 }
 
-// forEachNextStep calls visit with each step that can come next.
+// forEachNextStep calls visit with each step that is possible in this state, and with a description of the step.
 func (s *sharedDisk) forEachNextStep(visit func(description string, step func(*sharedDisk))) {
 	for log, c := range s.logs {
 		for n, m := range c.inflight {
@@ -154,7 +157,7 @@
 	}
 }
 
-// clone returns a copy on which steps can be taken without a change to the original.
+// clone returns a copy. A step that is taken on the copy does not change the original.
 func (s *sharedDisk) clone() *sharedDisk {
 	c := *s
 	c.logs, c.queues, c.writing = nil, slices.Clone(s.queues), slices.Clone(s.writing)
@@ -163,7 +166,7 @@
 	}
 	for i := range c.queues {
 		pending := map[LogID]*Write{}
-		// The writes themselves can be shared: Put replaces a pending write by a new one and changes none.
+		// The copy shares the writes with the original, because Put replaces a pending write and never changes it.
 		for log, w := range s.queues[i].pending {
 			pending[log] = w
 		}
@@ -172,7 +175,7 @@
 	return &c
 }
 
-// stateKey returns a hash by which states are distinguished: two states with the same key have the same next steps.
+// stateKey returns a hash of the state. States with the same key are considered equal, because the same steps are possible in them.
 func (s *sharedDisk) stateKey() uint64 {
 	b := fmt.Append(nil, s.budget)
 	write := func(w *Write) {
@@ -194,7 +197,8 @@
 	return maphash.Bytes(hashSeed, b)
 }
 
-// exploreSharedDisk is explore for several logs on the same disks.
+// exploreSharedDisk does the same as explore for several logs on the same disks: it takes all possible steps in every order, until
+// `limit` distinct states were seen or an invariant is violated. It returns the number of states, and the violation with its steps.
 func exploreSharedDisk(s *sharedDisk, limit int) (seen int, violation string) {
 	s.beginWrites()
 	visited := map[uint64]bool{s.stateKey(): true}
@@ -238,7 +242,7 @@
 	budget  sharedBudget
 }
 
-// propose makes the first member of a log propose an entry, and begins to write the entry.
+// propose makes the first member of a log propose an entry, and begins the write of the entry on that member's disk.
 func (s *sharedDisk) propose(log int) {
 	s.logs[log].propose()
 	s.beginWrites()
@@ -257,8 +261,9 @@
 	s.beginWrites()
 }
 
-// sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one of the logs meanwhile,
-// writes that queue, and messages that reach the wrong log. TestAllOrdersOverOneDiskFindMutations goes by their order.
+// sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one log during a write of the
+// other log, queued writes, and messages that reach the wrong log. TestAllOrdersOverOneDiskFindMutations refers to the scenarios by
+// their index.
 var sharedScenarios = []sharedScenario{
 	{"proposals and a crash", func(*sharedDisk) {}, sharedBudget{proposals: 2, crashes: 1}},
 	{"a vote and a crash", func(s *sharedDisk) {
@@ -286,8 +291,8 @@
 	}, sharedBudget{elections: 1, misrouted: 2}},
 }
 
-// Guards against logs that violate the invariants of a single log because they share disks and links. All orders of messages, syncs and
-// crashes are taken. GROUP_STATES sets how many states of each scenario are explored; the default is 10,000.
+// Guards against logs that violate the invariants of a single log because they share disks and links with other logs. The test takes all
+// orders of messages, syncs and crashes. GROUP_STATES sets how many states of each scenario are explored. The default is 10,000.
 func TestAllOrdersOverOneDiskKeepInvariants(t *testing.T) {
 	limit := 10_000
 	if n, err := strconv.Atoi(os.Getenv("GROUP_STATES")); err == nil {
@@ -304,8 +309,8 @@
 	}
 }
 
-// Guards against a log whose writes are delayed without a bound by those of the others. Each transaction must have the write of the
-// configuration's log, the groups must take turns within maxBatchBytes, and no write may stay in the queue.
+// Guards against a log whose writes are delayed without a limit by the writes of other logs. Each transaction must contain the pending
+// write of the configuration log. The coordination groups must take turns within maxBatchBytes. No write may stay in the queue.
 func TestTransactionsAreBounded(t *testing.T) {
 	var queue WriteQueue
 	largeWrite := func(index uint64) Write {
@@ -338,8 +343,8 @@
 	must.Nil(t, queue.Take())
 }
 
-// Guards against a leadership transfer to another member than the named one, and against a transfer that takes more than a few round trips.
-// If the named member does not respond, another one must lead.
+// Guards against a leadership transfer to a member other than the one that TransferLeadershipTo names, and against a transfer that takes
+// more than a few round trips. If the named member does not respond, another member must lead.
 func TestLeadershipTransferToNamedMember(t *testing.T) {
 	w := newFaultlessWalk(t)
 	for range 4 {
@@ -362,8 +367,9 @@
 	must.Eq(t, "", w.violation)
 }
 
-// Guards against slow elections after the connection to the leader broke: a member then starts a pre-vote at once. The term must not change
-// while the other members still hear from the leader. If the leader is gone, another member must lead within half the election time-out.
+// Guards against slow elections after the connections to the leader broke. ReportUnreachable makes a member start a pre-vote at once. While
+// the other members still receive messages from the leader, the term must not change. If the leader has stopped, another member must
+// lead within half the election timeout.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// reconcileMembers calls ReconcileMembers at each replica with the nodes that its host reaches, and schedules the next call, as
-// hosts do. With faults, one call in four is left out.
+// reconcileMembers calls ReconcileMembers at each replica with the nodes that the replica's host reaches, and schedules its own next call.
+// Unless the walk is faultless, one call in four is skipped. `tolerates` is the number of losses that the cluster must survive.
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, node := range w.nodes {
 		if node.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
@@ -47,9 +47,9 @@
 	w.nodes[nodeIndex].incarnation++
 }
 
-// toleranceViolation checks, while no change of members is under way, that any members may be lost next, up to the number
-// `tolerates`. The remaining ones must be a majority of the list, and more than `tolerates` running members must have each
-// acknowledged entry on disk. It returns what is violated, or an empty string.
+// toleranceViolation checks that the cluster survives the loss of any `tolerates` members. It is called when no change of the member list
+// should be in progress. The remaining members must be a majority of the member list, and more than `tolerates` running members must
+// have each acknowledged entry on disk. It returns a description of the violation, or an empty string.
 func (w *walk) toleranceViolation(tolerates int) string {
 	leader := w.leaderIndex()
 	if leader < 0 {
@@ -60,7 +60,7 @@
 		if node.replica == nil || !replica.isMember(node.disk.ID) {
 			continue
 		}
-		// The newest entries may still be in flight to some members.
+		// A member may lack the last 9 entries, because they may still be in flight to the member.
 		if lastIndex := node.disk.Snapshot.Index + uint64(len(node.disk.Entries)); lastIndex+9 >= w.ackedIndex {
 			upToDate++
 			if lastIndex >= w.ackedIndex {
@@ -74,7 +74,7 @@
 	return ""
 }
 
-// requireProgress requires that a proposal is committed within 5 s. If the leader is lost, that takes up to two elections.
+// requireProgress records a violation if no proposal is committed within 5 s. If the leader is lost, a commit can take up to two elections.
 func (w *walk) requireProgress() {
 	ackedBefore := w.ackedProposals
 	for end := w.now + 5*time.Second; w.ackedProposals == ackedBefore && w.violation == "" && w.now < end; {
@@ -85,9 +85,10 @@
 	}
 }
 
-// runReplacementWalk returns a finished walk of five passes. In each pass members are lost and replaced: as many as are tolerated at
-// once, or up to that number one after the other by replaceMember. Within the time that the setting catch_up allows after that,
-// the cluster must tolerate the same number of losses again, and the next pass causes them.
+// runReplacementWalk runs a walk of five passes and returns the finished walk. With an even seed the cluster must tolerate one loss, with
+// an odd seed two. In each pass, members are lost and replaced. Either the tolerated number of members is lost at once, or up to that
+// number is lost one after the other by replaceMember. The setting catch_up allows a time after each pass, here 2 s plus 2 s for each
+// tolerated loss. After this time, the cluster must tolerate the same number of losses again.
 func runReplacementWalk(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
 	w := newWalkWithMembers(t, 2*tolerates+1, 2*tolerates+1, seed, planted)
@@ -98,7 +99,7 @@
 	w.runUntil(3 * time.Second)
 	for range 5 {
 		passStart := w.now
-		if w.rng.Intn(3) == 0 { // all at once
+		if w.rng.Intn(3) == 0 { // the tolerated number of members is lost at once
 			for range tolerates {
 				w.stop(w.randomMember())
 			}
@@ -115,13 +116,13 @@
 		w.requireProgress()
 		w.runUntil(w.now + catchUp)
 		if violation := w.toleranceViolation(tolerates); violation != "" {
-			w.recordViolation("%v after the last node started: %s", catchUp, violation)
+			w.recordViolation("cluster does not tolerate further losses %v after the last node started: %s", catchUp, violation)
 		}
 	}
 	return w
 }
 
-// randomMember returns a random member that runs, the leader with a higher probability.
+// randomMember returns the index of a random running member. The leader is chosen with a higher probability. It waits up to 3 s for a leader.
 func (w *walk) randomMember() int {
 	for end := w.now + 3*time.Second; w.leaderIndex() < 0 && w.now < end; {
 		w.runUntil(w.now + 20*time.Millisecond)
@@ -183,19 +184,20 @@
 		w.start(i)
 		w.runUntil(w.now + 1500*time.Millisecond)
 		if leader := w.leaderIndex(); leader < 0 || !w.nodes[leader].replica.isMember(memberID) {
-			w.recordViolation("node %d was removed from the members although it only restarted", i)
+			w.recordViolation("node %d was removed from the member list although it only restarted", i)
 		}
-	case 6: // no new node joins for 8 s: the list must not get shorter than minMembers, so that acknowledged entries are on as many disks as before
+	case 6: // no new node joins for 8 s: the member list must not get shorter than minMembers, or acknowledged entries are on fewer disks
 		w.stop(i)
 		w.runUntil(w.now + 8*time.Second)
 		if leader := w.leaderIndex(); leader >= 0 && len(w.nodes[leader].replica.Members()) < w.minMembers {
-			w.recordViolation("the list has only %d members after a loss without a new node", len(w.nodes[leader].replica.Members()))
+			w.recordViolation("member list has %d members after a loss without a new node, want at least minMembers", len(w.nodes[leader].replica.Members()))
 		}
 		w.start(i)
 	}
 }
 
-// shutDownGracefully ends the node at nodeIndex as a draining node ends: once the other members have all entries that it has, or after 5 s.
+// shutDownGracefully drains the node at nodeIndex and stops it. The node stops once a majority has all committed entries without counting
+// the node, but after 5 s at the latest.
 func (w *walk) shutDownGracefully(nodeIndex int) {
 	node := w.nodes[nodeIndex]
 	node.draining = true
@@ -213,15 +215,15 @@
 	w.stop(nodeIndex)
 }
 
-// Guards against a cluster that does not tolerate further losses in time. After each kind of replacement, the same number of members may be
-// lost again after the time that the setting catch_up allows.
+// Guards against a cluster that takes too long to tolerate further losses after a loss. After each kind of replacement, and after the time
+// that the setting catch_up allows for it, the cluster must tolerate the same number of losses again.
 func TestReplacementWalksTolerateFurtherLosses(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed int64) { must.Eq(t, "", runReplacementWalk(t, seed, noMutation).violation) })
 }
 
-// drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the
-// draining member have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the
-// leader was once the disk works again.
+// drainWithSlowDisk commits an entry while one member drains and the disk of another member hangs, so that only the leader and the
+// draining member have the entry on disk. mayStopAtOnce reports whether the leader or the draining member was allowed to shut down while
+// the disk hung. mayStopAfterSync reports whether the leader was allowed to shut down after the disk worked again.
 func drainWithSlowDisk(t *testing.T, planted mutation) (mayStopAtOnce, mayStopAfterSync bool) {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
@@ -245,8 +247,8 @@
 	return mayStopAtOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 }
 
-// Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member
-// must stay until a majority of the others has its entries.
+// Guards against the loss of an acknowledged entry if a member shuts down and another member is lost right after that. The draining member
+// must run until a majority has its committed entries without counting the draining member.
 func TestDrainingMemberStaysUntilReplicatedElsewhere(t *testing.T) {
 	atOnce, afterSync := drainWithSlowDisk(t, noMutation)
 	must.False(t, atOnce)
@@ -266,8 +268,8 @@
 	must.Eq(t, removed.CommitIndex(), removed.IndexReplicatedElsewhere())
 }
 
-// Guards against a disk that loses its membership when it moves to another address. The list must be changed to the new address, with the
-// majorities of both lists.
+// Guards against a disk that loses its membership when it moves to another address. The leader must change the member list to the new
+// address.
 func TestMovedDiskStaysMember(t *testing.T) {
 	w := newWalkWithMembers(t, 3, 3, 1, noMutation)
 	w.faultless = true
@@ -289,8 +291,8 @@
 	must.Eq(t, "", w.violation)
 }
 
-// newTwoClusters sets up two clusters. The first has three members, of which only `last` runs: its disk has the bootstrap and, if
-// voted is true, a vote. The second has two members, led by `other`, which then adds `last` as a learner.
+// newTwoClusters sets up two clusters. The first cluster has three members, of which only `last` runs. The disk of `last` has the bootstrap
+// and, if voted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
 func newTwoClusters(planted mutation, voted bool) (c *cluster, last, other *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
@@ -324,9 +326,9 @@
 	return c, last, other
 }
 
-// Guards against a disk that can't join any cluster because it has the bootstrap of a cluster that no other disk joined. It must
-// join another cluster when a leader there sends the state, as an empty disk does. It must not join if it has voted: its first
-// cluster may have committed entries with that vote.
+// Guards against a disk that cannot join any cluster because it has the bootstrap of a cluster that no other disk joined. If the leader of
+// another cluster sends its snapshot, the disk must join that cluster, like an empty disk. If the disk has voted, it must not join: its
+// first cluster may have committed entries with that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
 	_, last, other := newTwoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
@@ -337,8 +339,9 @@
 	must.Eq(t, 2, last.term)
 }
 
-// Guards against a disk that stays unusable when the other members of its bootstrap are gone for good. The bootstrap can be
-// discarded, on disk as well, and the disk can be bootstrapped again. A disk that has more than a bootstrap must refuse.
+// Guards against a disk that stays unusable after the other members of its bootstrap are permanently lost. DiscardBootstrap must erase the
+// bootstrap in memory and on disk, and the disk can then be bootstrapped again. If a disk has more than a bootstrap, DiscardBootstrap
+// must return false.
 func TestBootstrapIsDiscarded(t *testing.T) {
 	c, _, _ := newTwoClusters(noMutation, true)
 	must.False(t, c.members[2].replica.DiscardBootstrap())
@@ -357,8 +360,8 @@
 	must.NoError(t, replica.Bootstrap([]Member{replica.self}))
 }
 
-// loseLeaderAfterReplacement stops a member, which hosts detect after 2.9 s, starts a new node 0.2 s after the stop, and stops the
-// leader 4 s after that. It returns the violation; empty if proposals are still committed.
+// loseLeaderAfterReplacement stops a member, starts a new node 0.2 s later, and stops the leader 4 s after the start of the new node. Hosts
+// detect a stopped member only after 2.9 s. It returns the violation, or an empty string if proposals are still committed.
 func loseLeaderAfterReplacement(t *testing.T, planted mutation) string {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
@@ -376,8 +379,8 @@
 	return w.violation
 }
 
-// Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up
-// allows after its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
+// Guards against a lost member that is replaced too late. The setting catch_up is the time after the start of a new node until the node must
+// be a member, 4 s at the small sites. Another disk may be lost right after this time, and proposals must still be committed.
 func TestLostMemberIsReplacedWithinCatchUpTime(t *testing.T) {
 	must.Eq(t, "", loseLeaderAfterReplacement(t, noMutation))
 }
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -7,9 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// catchUpThirdMember delivers messages to the third member again, which lacks twenty entries. After each message to or from that
-// member the others compact their logs, and before each of the first 40 an entry is proposed. It returns the bytes that the member
-// was sent and the snapshots that it installed, until it had the whole log or after a number of messages.
+// catchUpThirdMember delivers messages until the third member, which lacks twenty entries, has the whole log, or until maxMessages rounds
+// have passed. Each round delivers one message to or from the third member, and the other members then compact their logs. An entry is
+// proposed before each of the first 40 rounds. It returns the number of bytes that were delivered to the third member, the number of
+// snapshots that this member installed, and whether this member has the whole log.
 func catchUpThirdMember(c *cluster, maxMessages int) (bytes, restores int, caughtUp bool) {
 	c.sendHeartbeat(0)
 	for n := 0; n < maxMessages; n++ {
@@ -50,9 +51,9 @@
 	return bytes, restores, false
 }
 
-// Guards against a snapshot transfer that starts over. The snapshot in transfer must be sent once, whatever is proposed and
-// compacted meanwhile, and the entries after it must follow. Earlier, each compaction made the leader send the next snapshot from
-// its start: with one compaction for each message, the member never caught up.
+// Guards against a snapshot transfer that starts again from offset 0. The snapshot in transfer must be sent once, even if entries are
+// proposed and compacted during the transfer, and the entries after the snapshot must follow. Earlier, each compaction made the leader
+// send the new snapshot from its start. With one compaction for each message, the member never caught up.
 func TestSnapshotInTransferIsKept(t *testing.T) {
 	state := strings.Split(strings.Repeat("s", 20), "")
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers(state...)
@@ -64,8 +65,8 @@
 	must.LessEq(t, len(state)+2*40, bytes)
 }
 
-// Guards against a candidate that waits for a log that is too large for one message. The voter that has this log must start an
-// election itself: a large message would delay all others on the link, and a candidate without the newest log never leads.
+// Guards against a candidate that waits forever for a newer log that is too large for one message. The voter that has this log must start
+// an election itself: a large message would delay all other messages on the link, and a candidate without the newest log never leads.
 func TestMemberWithLargeTailStartsElection(t *testing.T) {
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks().commitOnFirstTwoMembers("a", "b", "c")
 	c.members[2].replica.startElection()
@@ -87,8 +88,9 @@
 	must.Eq(t, c.members[1].replica.log.lastIndex(), c.members[2].replica.syncedIndex)
 }
 
-// Guards against unbounded memory for members that lag. The trailing log may have as many bytes as a new snapshot. At most
-// maxOutdatedBlobs outdated snapshots are kept for transfers, and all receivers of a snapshot share it.
+// Guards against unlimited memory use for members that lag behind. The trailing log, which is the compacted entries in memory, may have as
+// many bytes as a new snapshot. At most maxOutdatedBlobs outdated snapshots are kept for transfers. All receivers of a snapshot share
+// one Blob.
 func TestTrailingLogIsBounded(t *testing.T) {
 	c := newCluster(3, 0, noMutation, stepBudget{}).withSmallChunks()
 	replica := c.members[0].replica
@@ -106,8 +108,8 @@
 		must.LessEq(t, 100<<10, size)
 	}
 	must.Greater(t, 64, len(replica.log.trailing))
-	// The term before the trailing log must be known. Otherwise a member that lacks exactly the trailing log would reject each
-	// append, until the log is compacted again.
+	// The term of the entry before the trailing log must be known. If it were not known, a member that lacks exactly the trailing log
+	// would reject each append until the log is compacted again.
 	_, known := replica.log.termAt(replica.FirstIndex() - 1)
 	must.True(t, known)
 	blobAt := func(i uint64) *Blob { return NewBlob(i, 1, []byte{1}) }
--- a/internal/gateway/replication/wire_test.go
+++ b/internal/gateway/replication/wire_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// setDistinctValues sets every field of a value and of the values in it. Numbers differ from all others, so that swapped fields are
-// detected.
+// setDistinctValues sets all fields of a value, also in nested values. Each number is set to a different value, counted up from *next, so
+// that swapped fields are detected.
 func setDistinctValues(t *testing.T, v reflect.Value, next *uint64) {
 	t.Helper()
 	switch v.Kind() {
