--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -151,8 +151,8 @@
 }
 
 // suspendOrPartition suspends a node for up to 4 s, or partitions its links in one or both directions for up to 5 s. This is many times as
-// long as an election takes. If there is a leader, at least two of three nodes that are chosen are the leader. Messages to a suspended
-// node are handled after its suspension. It schedules its own next call, and does nothing once the walk is faultless.
+// long as an election takes. If there is a leader, the leader is chosen in at least two of three cases. Messages to a suspended node are
+// handled after its suspension. The method schedules its own next call, and does nothing once the walk is faultless.
 func (w *walk) suspendOrPartition() {
 	if w.faultless {
 		return
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -13,13 +13,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// cluster is one state of the explorer's model: the members with a simulated disk each, and the messages in flight between them.
-// explore takes all steps that can follow, in every order.
+// cluster is one state of the state space that explore searches: the members with their simulated disks, and the messages in flight
+// between the members. From this state, explore takes all possible steps in every order.
 type cluster struct {
-	members        []*simMember
-	inflight       []inflightMessage
-	committed      []Entry           // from index 2 on, as the first member to apply an entry received it
-	wipedDisks     []PersistentState // contents at the time of the wipe: their entries were acknowledged correctly, so checkCommit counts them as copies
+	members   []*simMember
+	inflight  []inflightMessage
+	committed []Entry // from index 2 on, as the first member to apply an entry received it
+	// wipedDisks are the contents of disks just before they were erased. Their entries had been acknowledged correctly, so checkCommit
+	// counts these disks as copies.
+	wipedDisks     []PersistentState
 	budget         stepBudget
 	mutation       mutation
 	config         Config
@@ -28,19 +30,19 @@
 	currentMembers []Member               // the newest committed member list
 	configBases    map[logPosition]uint64 // by term and index of a member list: the commit index of its leader when it appended the list
 
-	checksQuorumContact bool // enables now and checkQuorumContact: see contact_test.go
-	// now is the simulated time. It stays 0 unless contact is checked.
+	checksQuorumContact bool // whether the simulated time advances and checkQuorumContact checks the state: see contact_test.go
+	// now is the simulated time since the start of the scenario. It stays 0 unless checksQuorumContact is true.
 	now         time.Duration
-	committedAt []time.Duration // when each entry of committed was first committed
+	committedAt []time.Duration // simulated time at which each entry of committed was first committed
 }
 
-// simMember is a node of the model: its replica, and its simulated disk.
+// simMember is a simulated node with its replica and its disk. It may be a member or a spare node.
 type simMember struct {
 	replica *Replica
 	disk    PersistentState
-	writes  []Write // handed out by the replica, not synced yet
-	ledTerm uint64  // the newest term in which the member was seen to lead; 0: none
-	down    bool    // the process does not run, until start is called
+	writes  []Write // writes that the replica returned and that are not on disk yet, in order
+	ledTerm uint64  // the newest term in which the member was seen as the leader; 0: none
+	down    bool    // the process does not run until start is called
 }
 
 // inflightMessage is a message that a member has sent and that is neither delivered nor lost.
@@ -49,9 +51,10 @@
 	send Send
 }
 
-// stepBudget is how many more steps of each kind forEachNextStep may offer.
-// A crash is followed by a restart at once. A loss stops a member until a restart. A wipe restarts a member with an empty disk.
-// A replacement makes a leader add a node in place of a lost member. A duplicate delivers a chunk that is delivered again later.
+// stepBudget is the number of further steps of each kind that forEachNextStep may offer.
+// A crash restarts a member at once, without the writes that were not synced. A loss stops a member until a restart. A wipe restarts a
+// member with an empty disk. A replacement makes a leader add a node in place of a lost member. A duplicate delivers a message with a
+// chunk and keeps a copy of the message in flight. A tick advances the simulated time by one second.
 type stepBudget struct{ elections, crashes, wipes, proposals, heartbeats, ticks, losses, restarts, replacements, duplicates, compactions int }
 
 // traceStep is the last step on the way to a state, linked to the steps before it.
@@ -60,7 +63,7 @@
 	description string
 }
 
-// String returns the descriptions of all steps, the first one first, each on a line of its own.
+// String returns the descriptions of all steps in the order of their execution, each on a line of its own.
 func (t *traceStep) String() string {
 	if t == nil {
 		return ""
@@ -68,18 +71,19 @@
 	return t.previous.String() + "\n  " + t.description
 }
 
-// timelessConfig keeps time from starting anything: elections, heartbeats and retransmissions occur only as steps of the explorer.
-// MaxMessageBytes limits a message to one entry.
+// timelessConfig is a configuration in which no timeout has an effect: elections, heartbeats and retransmissions occur only as steps of
+// explore. MaxMessageBytes limits a message to one entry.
 var timelessConfig = Config{ElectionTimeout: 1, ElectionJitter: 1, QuorumTimeout: time.Hour, LearnerTimeout: time.Hour, MaxPending: 9,
 	MaxMessageBytes: 1, CommitNotifyDelay: time.Hour,
 	HeartbeatInterval: time.Hour, RetransmitTimeout: 1}
 
-// newCluster returns a bootstrapped cluster whose first member leads term 2. The spares are further nodes, with empty disks.
+// newCluster returns a bootstrapped cluster with memberCount members, whose first member leads term 2. It also has spareCount further nodes
+// with empty disks, which are not members.
 func newCluster(memberCount, spareCount int, planted mutation, budget stepBudget) *cluster {
 	return newClusterForLog(ConfigurationLog, memberCount, spareCount, planted, budget)
 }
 
-// newClusterForLog is newCluster for one of several logs on the same disks.
+// newClusterForLog returns a cluster like newCluster, for one of several logs on the same disks.
 func newClusterForLog(log LogID, memberCount, spareCount int, planted mutation, budget stepBudget) *cluster {
 	c := &cluster{budget: budget, mutation: planted, config: timelessConfig, configBases: map[logPosition]uint64{}}
 	c.config.LogID, c.config.TestingKnobs = log, knobsFor(planted)
@@ -107,7 +111,7 @@
 	return c
 }
 
-// start starts the member at memberIndex with what its disk has. Writes that were not synced are lost.
+// start starts the member at memberIndex with the contents of its disk. Writes that were not synced are lost.
 func (c *cluster) start(memberIndex int) {
 	s := c.members[memberIndex]
 	s.writes, s.down = nil, false
@@ -115,7 +119,7 @@
 	c.drainActions(memberIndex)
 }
 
-// recordViolation records a violation of an invariant, if it is the first one.
+// recordViolation records the first violation of an invariant. Later violations are ignored.
 func (c *cluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf(format, args...)
@@ -159,19 +163,19 @@
 	}
 }
 
-// isSameEntry reports whether two entries are the same, but for their member lists.
+// isSameEntry reports whether two entries have the same index, term, kind and data. It does not compare their member lists.
 func isSameEntry(a, b Entry) bool {
 	return a.Index == b.Index && a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
 
-// hasEntry reports whether a disk has an entry, in its log or compacted into its snapshot.
+// hasEntry reports whether a disk has an entry in its log, or has a snapshot that includes the entry's index.
 func hasEntry(disk PersistentState, e Entry) bool {
 	offset := e.Index - disk.Snapshot.Index - 1
 	return disk.Snapshot.Index >= e.Index || offset < uint64(len(disk.Entries)) && isSameEntry(disk.Entries[offset], e)
 }
 
 // checkCommit checks an entry that the member at memberIndex applied: all members must apply the same entry at an index, and the entry must be on
-// the disks of a majority. Disks that were wiped since count too.
+// the disks of a majority. A disk that had the entry when it was erased counts too.
 func (c *cluster) checkCommit(memberIndex int, e Entry) {
 	if position := e.Index - 2; position < uint64(len(c.committed)) {
 		if !isSameEntry(c.committed[position], e) {
@@ -193,8 +197,8 @@
 	}
 }
 
-// hostStateAt returns the host's state after the entries up to an index: their data, the newest first. In this order the states of two
-// indexes differ at every offset, so that mixed chunks of two snapshots are detected.
+// hostStateAt returns the host's state after the entries up to an index. The state is the data of these entries, with the newest entry
+// first. In this order, the states of two indexes differ at every offset, so that mixed chunks of two snapshots are detected.
 func (c *cluster) hostStateAt(index uint64) (state string) {
 	for _, e := range c.committed[:min(uint64(len(c.committed)), max(index, 1)-1)] {
 		state = string(e.Data) + state
@@ -202,26 +206,26 @@
 	return state
 }
 
-// compact makes the member at memberIndex compact its log up to its commit index.
+// compact makes the member at memberIndex compact its log up to the member's commit index.
 func (c *cluster) compact(memberIndex int) {
 	replica := c.members[memberIndex].replica
 	replica.Compact(replica.commitIndex, []byte(c.hostStateAt(replica.commitIndex)))
 	c.drainActions(memberIndex)
 }
 
-// checkMemberList checks a member list that was committed. From then on any members may be lost, as many as the list's size tolerates. So
-// each new member must have the log up to what the leader knew to be committed when it appended the list. The list must also not be
-// shorter than the one before it.
+// checkMemberList checks a member list that was committed. Once the list is committed, any minority of its members may be lost. So each new
+// member must have the log on disk up to the commit index that the leader had when it appended the list. The list must also not be
+// shorter than the member list before it.
 func (c *cluster) checkMemberList(e Entry) {
 	previous := c.currentMembers
 	if c.currentMembers = e.Members; len(e.Members) < len(previous) {
-		c.recordViolation("member list at index %d has %d members, fewer than the list before it", e.Index, len(e.Members))
+		c.recordViolation("member list at index %d has %d members, want at least as many as the list before it", e.Index, len(e.Members))
 	}
 	for _, s := range c.members {
 		isThisMember := func(m Member) bool { return m.ID == s.disk.ID }
 		lastIndex, base := s.disk.Snapshot.Index+uint64(len(s.disk.Entries)), c.configBases[logPosition{e.Term, e.Index}]
 		if slices.ContainsFunc(e.Members, isThisMember) && !slices.ContainsFunc(previous, isThisMember) && !s.down && lastIndex < base {
-			c.recordViolation("member list at index %d was committed, but its new member %d has the log up to %d, want %d", e.Index, s.disk.ID, lastIndex, base)
+			c.recordViolation("member list at index %d was committed, but its new member %d has last index=%d, want at least %d", e.Index, s.disk.ID, lastIndex, base)
 		}
 	}
 }
@@ -237,7 +241,7 @@
 	c.drainActions(memberIndex)
 }
 
-// deliver delivers the message at a position of inflight. The message is lost if no running member has the recipient's address.
+// deliver delivers the message at a position of inflight. If no running member has the recipient's address, the message is lost.
 func (c *cluster) deliver(position int) {
 	m := c.inflight[position]
 	c.inflight = slices.Delete(slices.Clone(c.inflight), position, position+1)
@@ -253,11 +257,11 @@
 	}
 }
 
-// sendHeartbeat makes the member at memberIndex send a heartbeat to all others.
+// sendHeartbeat makes the member at memberIndex, which leads, send a heartbeat to all other members and the learner.
 func (c *cluster) sendHeartbeat(memberIndex int) {
 	c.advanceTime(memberIndex)
 	if !c.checksQuorumContact {
-		// RetransmitTimeout passes: chunks that nobody acknowledged are sent again.
+		// Let RetransmitTimeout pass, so that chunks without an acknowledgement are sent again.
 		c.members[memberIndex].replica.now++
 	}
 	c.members[memberIndex].replica.broadcastHeartbeat()
@@ -280,8 +284,8 @@
 	}
 }
 
-// removeStaleMessages removes messages that can't have an effect any more: those to disks that are gone, and responses to a member
-// that has a newer term on disk.
+// removeStaleMessages removes messages in flight that can have no effect any more. These are messages to erased disks, and messages with a
+// term below the term on the recipient's disk, except appends and vote requests.
 func (c *cluster) removeStaleMessages() {
 	c.inflight = slices.DeleteFunc(slices.Clone(c.inflight), func(f inflightMessage) bool {
 		recipient := slices.IndexFunc(c.members, func(s *simMember) bool { return s.disk.ID == f.send.Recipient.ID })
@@ -290,7 +294,8 @@
 	})
 }
 
-// forEachNextStep calls visit with each step that can come next. A message that is not delivered stands for one that is lost or delayed.
+// forEachNextStep calls visit with each step that is possible in this state, and with a description of the step. There is no step that
+// loses or delays a message: a message that is never delivered, or is delivered later, covers these cases.
 func (c *cluster) forEachNextStep(visit func(description string, step func(*cluster))) {
 	for n, m := range c.inflight {
 		key := string(m.appendKey(nil, c.checksQuorumContact))
@@ -361,8 +366,8 @@
 	c.members[memberIndex].down, c.members[memberIndex].writes = true, nil
 }
 
-// forEachReplacement calls visit with each replacement that the leader at leaderIndex can begin: any running node that is no member, for any member that has
-// stopped.
+// forEachReplacement calls visit with each replacement that the leader at leaderIndex can begin. The new member is any running node that is
+// not a member, and the lost member is any member that has stopped.
 func (c *cluster) forEachReplacement(leaderIndex int, visit func(description string, step func(*cluster))) {
 	leader := c.members[leaderIndex].replica
 	for _, in := range c.members {
@@ -378,7 +383,8 @@
 	}
 }
 
-// replaceMember stops a member and lets the first member replace it by another node, until the new member list is committed.
+// replaceMember stops the member at lostIndex. Then the first member, which leads, replaces the stopped member by the node at spareIndex.
+// replaceMember returns once the new member list is committed.
 func (c *cluster) replaceMember(lostIndex, spareIndex int) *cluster {
 	c.stop(lostIndex)
 	c.members[0].replica.AddMember(c.members[spareIndex].replica.self, c.members[lostIndex].disk.ID)
@@ -389,7 +395,8 @@
 	return c
 }
 
-// wipeDisk restarts the member at memberIndex with an empty disk, which has a new member ID. With the mutation countWipedDisk it keeps its ID.
+// wipeDisk restarts the member at memberIndex with an empty disk, which has a new member ID. With the mutation countWipedDisk, the empty
+// disk keeps the former member ID.
 func (c *cluster) wipeDisk(memberIndex int) {
 	s := c.members[memberIndex]
 	c.wipedDisks = append(slices.Clone(c.wipedDisks), s.disk)
@@ -399,8 +406,8 @@
 	c.start(memberIndex)
 }
 
-// clone returns a copy on which steps can be taken without a change to the original. Slices that are only appended to are clipped, not
-// copied.
+// clone returns a copy. A step that is taken on the copy does not change the original. Slices to which steps only append are not copied but
+// clipped, so that an append allocates a new array.
 func (c *cluster) clone() *cluster {
 	copied := *c
 	copied.members = nil
@@ -425,7 +432,7 @@
 	return &copied
 }
 
-// appendEntriesKey appends an encoding of entries to b. It is a part of the keys of states.
+// appendEntriesKey appends an encoding of entries to b. The encoding is a part of the input of stateKey.
 func appendEntriesKey(b []byte, all []Entry) []byte {
 	b = appendUvarints(b, uint64(len(all)))
 	for _, e := range all {
@@ -434,7 +441,8 @@
 	return b
 }
 
-// appendKey appends an encoding of the message to b, by which duplicates are found. If timed is true it has the message's clocks too.
+// appendKey appends an encoding of the message to b. Messages with the same encoding are duplicates. If timed is true, the encoding includes
+// the message's clocks and the age of the quorum contact.
 func (i inflightMessage) appendKey(b []byte, timed bool) []byte {
 	m := i.send.Message
 	b = appendUvarints(b, uint64(i.from), uint64(m.Recipient), uint64(m.Kind), m.Term, m.Index, m.LogTerm, m.Commit, m.Seq)
@@ -455,7 +463,7 @@
 	return append(appendUvarints(b, c.Index, c.View, c.Sum, c.Size, c.Offset), c.Data...)
 }
 
-// stateKey returns a hash by which states are distinguished: two states with the same key have the same next steps.
+// stateKey returns a hash of the state. States with the same key are considered equal, because the same steps are possible in them.
 func (c *cluster) stateKey() uint64 {
 	var b []byte
 	for _, s := range c.members {
@@ -507,8 +515,9 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// explore takes all possible steps in every order, breadth first, until a number of distinct states was seen or an invariant is violated.
-// It returns how many states were seen, and the violation with the steps that led to it; empty if there is none.
+// explore is an exhaustive state space search. It takes all possible steps in every order, breadth first, until `limit` distinct states were
+// seen or an invariant is violated. It returns the number of states, and the violation with the steps that led to it. If there is no
+// violation, it returns an empty string.
 func explore(state *cluster, limit int) (seen int, violation string) {
 	visited := map[uint64]bool{state.stateKey(): true}
 	for queue := []*cluster{state}; len(queue) > 0 && len(visited) < limit; {
@@ -545,7 +554,8 @@
 	return len(visited), violation
 }
 
-// electAmong makes the member at candidateIndex start an election in which only the given other members vote. All messages to others are lost.
+// electAmong makes the member at candidateIndex start an election in which only the members at the indexes in voters vote. All messages to
+// other members are lost.
 func (c *cluster) electAmong(candidateIndex int, voters ...int) {
 	c.members[candidateIndex].replica.startElection()
 	c.drainActions(candidateIndex)
@@ -560,7 +570,7 @@
 	c.syncNextWrite(candidateIndex)
 }
 
-// syncAllWrites completes all pending writes of the given members.
+// syncAllWrites completes all pending writes of the members at the given indexes.
 func (c *cluster) syncAllWrites(indexes ...int) {
 	for _, i := range indexes {
 		for len(c.members[i].writes) > 0 {
@@ -569,10 +579,11 @@
 	}
 }
 
-// deliverFromTo delivers all messages in flight from one member to another. All other messages in flight are lost.
+// deliverFromTo delivers all messages in flight from the member at index from to the member at index to. All other messages in flight are lost.
 func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
 
-// deliverAmong delivers all messages in flight from some members to some others. All other messages in flight are lost.
+// deliverAmong delivers all messages in flight from the members at the indexes in from to the members at the indexes in to. All other messages
+// in flight are lost.
 func (c *cluster) deliverAmong(from, to []int) {
 	contains := func(which []int, id MemberID) bool {
 		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
@@ -583,14 +594,15 @@
 	}
 }
 
-// propose makes the first member propose an entry. The entry is not synced, and the messages with it are in flight.
+// propose makes the first member, which leads, propose an entry. The entry is not synced, and the messages with the entry are in flight.
 func (c *cluster) propose() *cluster {
 	c.members[0].replica.Propose(1, []byte("x"))
 	c.drainActions(0)
 	return c
 }
 
-// withSmallChunks makes all members send what is larger than two bytes in chunks of one byte, two of them in flight at a time.
+// withSmallChunks changes the configuration of all members: data of more than two bytes is sent in chunks of one byte, with at most two
+// chunks in flight.
 func (c *cluster) withSmallChunks() *cluster {
 	c.config.MaxInflightBytes, c.config.ChunkBytes, c.config.TrailingBytes = 2, 1, 64<<10
 	for _, s := range c.members {
@@ -599,8 +611,8 @@
 	return c
 }
 
-// commitOnFirstTwoMembers commits an entry for each data on the first two members, which then compact their logs. All messages to the third
-// member are lost.
+// commitOnFirstTwoMembers commits one entry for each string in all on the first two members. Then these two members compact their logs. All
+// messages to the third member are lost.
 func (c *cluster) commitOnFirstTwoMembers(all ...string) *cluster {
 	for _, data := range all {
 		c.members[0].replica.Propose(1, []byte(data))
@@ -618,8 +630,8 @@
 	c.compact(0)
 	c.compact(1)
 	c.syncAllWrites(0, 1)
-	// Without a trailing log, as after a restart, the entries of the snapshot are not in memory: a member that lacks them needs the
-	// snapshot.
+	// Remove the trailing log, as a restart does. Entries that the snapshot includes are then not in memory, so a member that lacks these
+	// entries needs the snapshot.
 	for _, s := range c.members {
 		s.replica.log.trailing = nil
 	}
@@ -633,7 +645,7 @@
 	mutations []mutation
 }
 
-// scenarios check all invariants but those of quorum contact, for which see contactScenarios.
+// scenarios are the scenarios in which explore checks all invariants except those of quorum contact. See also contactScenarios.
 var scenarios = []scenario{
 	{"a proposal, an election and a crash", func(planted mutation) *cluster {
 		return newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1}).propose()
@@ -645,7 +657,7 @@
 		c.inflight = append(c.inflight, late...)
 		return c
 	}, []mutation{acceptStaleTerm}},
-	{"two concurrent elections", func(planted mutation) *cluster {
+	{"two concurrent elections and a proposal", func(planted mutation) *cluster {
 		return newCluster(3, 0, planted, stepBudget{elections: 2, proposals: 1})
 	}, []mutation{ackUnsynced}},
 	{"a member restarts with an empty disk", func(planted mutation) *cluster {
@@ -666,7 +678,7 @@
 	}, []mutation{singleMajority}},
 	{"a learner receives entries", func(planted mutation) *cluster {
 		c := newCluster(3, 1, planted, stepBudget{elections: 1})
-		// One message may carry entries beyond the commit index.
+		// A message can then contain several entries, so that the learner also receives entries that are not committed yet.
 		c.members[0].replica.config.MaxMessageBytes = 1 << 10
 		c.members[0].replica.AddMember(c.members[3].replica.self, 0)
 		c.drainActions(0)
@@ -743,7 +755,7 @@
 		c.sendHeartbeat(0)
 		c.deliverFromTo(0, 2)
 		c.deliverFromTo(2, 0)
-		// The third member has one chunk. Another chunk of the former leader is in flight.
+		// Deliver one chunk to the third member. Another chunk of the former leader stays in flight.
 		c.deliver(0)
 		late := c.inflight
 		c.commitOnFirstTwoMembers("d")
@@ -772,7 +784,7 @@
 		late := slices.DeleteFunc(slices.Clone(c.inflight), func(m inflightMessage) bool { return m.send.Recipient.ID != c.members[2].disk.ID })
 		c.deliverFromTo(0, 1)
 		c.syncAllWrites(1)
-		// One more acknowledgement is enough for a majority.
+		// The leader and the second member have the entry. One more acknowledgement is enough for a majority.
 		c.deliverFromTo(1, 0)
 		c.members[3].replica.startElection()
 		c.drainActions(3)
@@ -888,7 +900,7 @@
 }
 
 // Guards against diverging logs, lost committed entries and two leaders of one term. Such faults occur only in certain orders of messages,
-// syncs, crashes and elections, so all orders are taken up to a number of states.
+// syncs, crashes and elections, so explore takes all orders up to a number of states.
 func TestAllOrdersKeepInvariants(t *testing.T) { requireNoViolation(t, scenarios) }
 
 // requireNoViolation requires that explore finds no violation in any scenario.
@@ -898,7 +910,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			seen, violation := explore(s.build(noMutation), stateLimit(10_000))
-			t.Log(seen, "states")
+			t.Log("explored states:", seen)
 			must.Eq(t, "", violation)
 		})
 	}
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -269,7 +269,7 @@
 }
 
 // Guards against a disk that loses its membership when it moves to another address. The leader must change the member list to the new
-// address.
+// address. This change needs the majorities of both lists.
 func TestMovedDiskStaysMember(t *testing.T) {
 	w := newWalkWithMembers(t, 3, 3, 1, noMutation)
 	w.faultless = true
