--- a/internal/gateway/replication/contact.go
+++ b/internal/gateway/replication/contact.go
@@ -95,15 +95,15 @@
 	if r.role != roleLeader || !r.tracksQuorumContact() || r.commitIndex < r.termStartIndex && !r.hasMutation(contactBeforeNoOp) {
 		return
 	}
-	quorumSince := func(t time.Duration) bool {
+	hasQuorumSince := func(t time.Duration) bool {
 		return r.hasQuorum(func(id MemberID) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].lastContactAt >= t })
 	}
-	if quorumSince(r.now) || r.hasMutation(contactWhileLeading) {
+	if hasQuorumSince(r.now) || r.hasMutation(contactWhileLeading) {
 		r.advanceQuorumContact(r.now, r.term)
 		return
 	}
 	for _, peer := range r.peers {
-		if peer.lastContactAt > r.quorumContact.lastContactAt && quorumSince(peer.lastContactAt) {
+		if peer.lastContactAt > r.quorumContact.lastContactAt && hasQuorumSince(peer.lastContactAt) {
 			r.advanceQuorumContact(peer.lastContactAt, r.term)
 		}
 	}
--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -49,7 +49,7 @@
 	for range 2 { // the second heartbeat brings back the clocks that the first one sent
 		c.now += time.Second
 		c.sendHeartbeat(0)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 		c.sendHeartbeat(0)
 		c.deliverAmong([]int{0}, []int{1, 2})
 		late := c.inflight
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		c.deliverFromTo(1, 2)
 		c.syncAllWrites(2)
 		c.inflight = append(c.inflight, late...)
@@ -71,7 +71,7 @@
 		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		c.sendHeartbeat(0)
 		late := c.inflight
-		c.electAmong(1, 0)
+		c.electWithVotesOf(1, 0)
 		c.deliverFromTo(1, 0)
 		c.syncAllWrites(0)
 		for _, m := range late {
@@ -82,17 +82,17 @@
 		return c
 	}, []mutation{contactFromAppendTime}},
 	{"a new leader that does not know which entries are committed", func(planted mutation) *cluster {
-		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).proposeOnFirstMember()
 		c.syncAllWrites(0)
 		c.deliverFromTo(0, 1)
 		c.syncAllWrites(1)
 		c.deliverFromTo(1, 0) // the entry is committed
 		c.now += time.Second
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		return c
 	}, []mutation{contactBeforeNoOp}},
 	{"a follower that lacks committed entries", func(planted mutation) *cluster {
-		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).proposeOnFirstMember()
 		c.members[0].replica.Propose(2, []byte("y"))
 		c.drainActions(0)
 		c.syncAllWrites(0)
@@ -117,9 +117,9 @@
 	index uint64
 }
 
-// deferWhileSuspended reports whether the process of a node is suspended. If the process is suspended, it schedules a call of act for the
+// deferIfSuspended reports whether the process of a node is suspended. If the process is suspended, it schedules a call of act for the
 // end of the suspension.
-func (w *walk) deferWhileSuspended(node *simNode, act func()) bool {
+func (w *walk) deferIfSuspended(node *simNode, act func()) bool {
 	if node.suspendedUntil <= w.now {
 		return false
 	}
@@ -179,8 +179,8 @@
 	w.schedule(w.randomDelay(3000), w.suspendOrPartition)
 }
 
-// runContactWalk runs a walk with the faults of suspendOrPartition until 30 s, and for 10 s more without faults. It returns the finished walk.
-func runContactWalk(t *testing.T, seed int64, planted mutation) *walk {
+// runQuorumContactWalk runs a walk with the faults of suspendOrPartition until 30 s, and for 10 s more without faults. It returns the finished walk.
+func runQuorumContactWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return runWalkWithFaults(t, seed, planted, (*walk).suspendOrPartition, 30*time.Second)
 }
 
@@ -190,7 +190,7 @@
 	for seed := range int64(stateLimit(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := runContactWalk(t, seed, noMutation)
+			w := runQuorumContactWalk(t, seed, noMutation)
 			must.Eq(t, "", w.violation)
 			for i, node := range w.nodes {
 				age, _, ok := node.replica.QuorumContact(w.now)
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -71,7 +71,7 @@
 	for _, m := range r.otherMembers() {
 		r.sendToMember(m, Message{Kind: MsgPreVote, Term: r.term, Seq: r.preVoteSeq})
 	}
-	r.startElectionIfPreVoted()
+	r.startElectionIfPreVoteWon()
 }
 
 func (r *Replica) onPreVote(from MemberID, m Message) {
@@ -82,11 +82,11 @@
 func (r *Replica) onPreVoteResponse(from MemberID, m Message) {
 	if r.role == rolePreCandidate && m.Seq == r.preVoteSeq && !m.Rejected {
 		r.preVotes[from] = true
-		r.startElectionIfPreVoted()
+		r.startElectionIfPreVoteWon()
 	}
 }
 
-func (r *Replica) startElectionIfPreVoted() {
+func (r *Replica) startElectionIfPreVoteWon() {
 	if r.hasQuorum(func(id MemberID) bool { return r.preVotes[id] }) {
 		r.startElection()
 	}
@@ -224,8 +224,8 @@
 	if !last.newerThan(r.log.lastPosition()) || m.Snapshot == nil && m.Index > r.commitIndex {
 		return
 	}
-	r.installSnapshotIfNewer(m.Snapshot)
-	r.appendAfter(m.Index, m.Entries)
+	r.installSnapshotIfNeeded(m.Snapshot)
+	r.appendEntriesAfter(m.Index, m.Entries)
 	r.tallyVotes()
 }
 
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -42,7 +42,7 @@
 	disk    PersistentState
 	writes  []Write // writes that the replica returned and that are not on disk yet, in order
 	ledTerm uint64  // the newest term in which the member was seen as the leader; 0: none
-	down    bool    // the process does not run until start is called
+	down    bool    // the process does not run until startMember is called
 }
 
 // inflightMessage is a message that a member has sent and that is neither delivered nor lost.
@@ -89,7 +89,7 @@
 	c.config.LogID, c.config.TestingKnobs = log, knobsFor(planted)
 	for i := range memberCount + spareCount {
 		c.members = append(c.members, &simMember{disk: PersistentState{ID: MemberID(i + 1)}})
-		c.start(i)
+		c.startMember(i)
 	}
 	var memberList []Member
 	for _, s := range c.members[:memberCount] {
@@ -102,17 +102,17 @@
 		}
 		c.drainActions(i)
 	}
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.members[0].replica.startElection()
 	c.drainActions(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	return c
 }
 
-// start starts the member at memberIndex with the contents of its disk. Writes that were not synced are lost.
-func (c *cluster) start(memberIndex int) {
+// startMember starts the member at memberIndex with the contents of its disk. Writes that were not synced are lost.
+func (c *cluster) startMember(memberIndex int) {
 	s := c.members[memberIndex]
 	s.writes, s.down = nil, false
 	s.replica = New(Member{s.disk.ID, fmt.Sprint("node", memberIndex)}, s.disk, c.config, 1, 0)
@@ -206,8 +206,8 @@
 	return state
 }
 
-// compact makes the member at memberIndex compact its log up to the member's commit index.
-func (c *cluster) compact(memberIndex int) {
+// compactLogOf makes the member at memberIndex compact its log up to the member's commit index.
+func (c *cluster) compactLogOf(memberIndex int) {
 	replica := c.members[memberIndex].replica
 	replica.Compact(replica.commitIndex, []byte(c.hostStateAt(replica.commitIndex)))
 	c.drainActions(memberIndex)
@@ -241,8 +241,8 @@
 	c.drainActions(memberIndex)
 }
 
-// deliver delivers the message at a position of inflight. If no running member has the recipient's address, the message is lost.
-func (c *cluster) deliver(position int) {
+// deliverMessageAt delivers the message at a position of inflight. If no running member has the recipient's address, the message is lost.
+func (c *cluster) deliverMessageAt(position int) {
 	m := c.inflight[position]
 	c.inflight = slices.Delete(slices.Clone(c.inflight), position, position+1)
 	for i, s := range c.members {
@@ -268,8 +268,8 @@
 	c.drainActions(memberIndex)
 }
 
-// deliverAll completes all writes and delivers all messages in order, until none is left.
-func (c *cluster) deliverAll() {
+// syncAndDeliverAll completes all writes and delivers all messages in order, until none is left.
+func (c *cluster) syncAndDeliverAll() {
 	for again := true; again; {
 		again = len(c.inflight) > 0
 		for i, s := range c.members {
@@ -279,7 +279,7 @@
 			}
 		}
 		if len(c.inflight) > 0 {
-			c.deliver(0)
+			c.deliverMessageAt(0)
 		}
 	}
 }
@@ -302,12 +302,12 @@
 		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksQuorumContact)) == key }) {
 			message := m.send.Message
 			description := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, message.Kind, message.Term, message.Index)
-			visit(description, func(next *cluster) { next.deliver(n) })
+			visit(description, func(next *cluster) { next.deliverMessageAt(n) })
 			if message.Chunk != nil && c.budget.duplicates > 0 {
 				visit(description+" (duplicated)", func(next *cluster) {
 					next.budget.duplicates--
 					next.inflight = append(slices.Clone(next.inflight), next.inflight[n])
-					next.deliver(n)
+					next.deliverMessageAt(n)
 				})
 			}
 		}
@@ -316,12 +316,12 @@
 		id := s.disk.ID
 		if s.down {
 			if c.budget.restarts > 0 {
-				visit(fmt.Sprintf("member %d starts again", id), func(next *cluster) { next.budget.restarts--; next.start(i) })
+				visit(fmt.Sprintf("member %d starts again", id), func(next *cluster) { next.budget.restarts--; next.startMember(i) })
 			}
 			continue
 		}
 		if c.budget.losses > 0 {
-			visit(fmt.Sprintf("member %d stops", id), func(next *cluster) { next.budget.losses--; next.stop(i) })
+			visit(fmt.Sprintf("member %d stops", id), func(next *cluster) { next.budget.losses--; next.stopMember(i) })
 		}
 		if c.budget.replacements > 0 && s.replica.role == roleLeader {
 			c.forEachReplacement(i, visit)
@@ -330,7 +330,7 @@
 			visit(fmt.Sprintf("member %d completes a write", id), func(next *cluster) { next.syncNextWrite(i) })
 		}
 		if c.budget.crashes > 0 {
-			visit(fmt.Sprintf("member %d crashes and restarts", id), func(next *cluster) { next.budget.crashes--; next.start(i) })
+			visit(fmt.Sprintf("member %d crashes and restarts", id), func(next *cluster) { next.budget.crashes--; next.startMember(i) })
 		}
 		if c.budget.wipes > 0 && s.replica.Bootstrapped() {
 			visit(fmt.Sprintf("member %d restarts with an empty disk", id), func(next *cluster) { next.budget.wipes--; next.wipeDisk(i) })
@@ -350,7 +350,7 @@
 			})
 		}
 		if c.budget.compactions > 0 && s.replica.commitIndex > s.replica.log.snapshot.Index {
-			visit(fmt.Sprintf("member %d compacts its log", id), func(next *cluster) { next.budget.compactions--; next.compact(i) })
+			visit(fmt.Sprintf("member %d compacts its log", id), func(next *cluster) { next.budget.compactions--; next.compactLogOf(i) })
 		}
 		if c.budget.heartbeats > 0 && s.replica.role == roleLeader {
 			visit(fmt.Sprintf("member %d sends heartbeats", id), func(next *cluster) { next.budget.heartbeats--; next.sendHeartbeat(i) })
@@ -361,8 +361,8 @@
 	}
 }
 
-// stop stops the member at memberIndex. Its disk keeps the writes that were synced.
-func (c *cluster) stop(memberIndex int) {
+// stopMember stops the member at memberIndex. Its disk keeps the writes that were synced.
+func (c *cluster) stopMember(memberIndex int) {
 	c.members[memberIndex].down, c.members[memberIndex].writes = true, nil
 }
 
@@ -386,12 +386,12 @@
 // replaceMember stops the member at lostIndex. Then the first member, which leads, replaces the stopped member by the node at spareIndex.
 // replaceMember returns once the new member list is committed.
 func (c *cluster) replaceMember(lostIndex, spareIndex int) *cluster {
-	c.stop(lostIndex)
+	c.stopMember(lostIndex)
 	c.members[0].replica.AddMember(c.members[spareIndex].replica.self, c.members[lostIndex].disk.ID)
 	c.drainActions(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	return c
 }
 
@@ -403,7 +403,7 @@
 	if s.disk = (PersistentState{ID: s.disk.ID + 10}); c.mutation == countWipedDisk {
 		s.disk.ID -= 10
 	}
-	c.start(memberIndex)
+	c.startMember(memberIndex)
 }
 
 // clone returns a copy. A step that is taken on the copy does not change the original. Slices to which steps only append are not copied but
@@ -554,48 +554,52 @@
 	return len(visited), violation
 }
 
-// electAmong makes the member at candidateIndex start an election in which only the members at the indexes in voters vote. All messages to
+// electWithVotesOf makes the member at candidateIndex start an election in which only the members at voterIndexes vote. All messages to
 // other members are lost.
-func (c *cluster) electAmong(candidateIndex int, voters ...int) {
+func (c *cluster) electWithVotesOf(candidateIndex int, voterIndexes ...int) {
 	c.members[candidateIndex].replica.startElection()
 	c.drainActions(candidateIndex)
 	c.syncNextWrite(candidateIndex)
-	c.deliverAmong([]int{candidateIndex}, voters)
-	c.syncAllWrites(voters...)
-	c.deliverAmong(voters, []int{candidateIndex})
+	c.deliverAmong([]int{candidateIndex}, voterIndexes)
+	c.syncAllWrites(voterIndexes...)
+	c.deliverAmong(voterIndexes, []int{candidateIndex})
 	if c.members[candidateIndex].replica.role == roleCandidate { // another member has a newer log, which the candidate fetches
-		c.deliverAmong([]int{candidateIndex}, voters)
-		c.deliverAmong(voters, []int{candidateIndex})
+		c.deliverAmong([]int{candidateIndex}, voterIndexes)
+		c.deliverAmong(voterIndexes, []int{candidateIndex})
 	}
 	c.syncNextWrite(candidateIndex)
 }
 
-// syncAllWrites completes all pending writes of the members at the given indexes.
-func (c *cluster) syncAllWrites(indexes ...int) {
-	for _, i := range indexes {
+// syncAllWrites completes all pending writes of the members at memberIndexes.
+func (c *cluster) syncAllWrites(memberIndexes ...int) {
+	for _, i := range memberIndexes {
 		for len(c.members[i].writes) > 0 {
 			c.syncNextWrite(i)
 		}
 	}
 }
 
-// deliverFromTo delivers all messages in flight from the member at index from to the member at index to. All other messages in flight are lost.
-func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
+// deliverFromTo delivers all messages in flight from the member at fromIndex to the member at toIndex. All other messages in flight are lost.
+func (c *cluster) deliverFromTo(fromIndex, toIndex int) {
+	c.deliverAmong([]int{fromIndex}, []int{toIndex})
+}
 
-// deliverAmong delivers all messages in flight from the members at the indexes in from to the members at the indexes in to. All other messages
+// deliverAmong delivers all messages in flight from the members at fromIndexes to the members at toIndexes. All other messages
 // in flight are lost.
-func (c *cluster) deliverAmong(from, to []int) {
+func (c *cluster) deliverAmong(fromIndexes, toIndexes []int) {
 	contains := func(which []int, id MemberID) bool {
 		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
 	}
-	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool { return !contains(from, f.from) || !contains(to, f.send.Recipient.ID) })
+	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool {
+		return !contains(fromIndexes, f.from) || !contains(toIndexes, f.send.Recipient.ID)
+	})
 	for n := len(c.inflight); n > 0; n-- {
-		c.deliver(0)
+		c.deliverMessageAt(0)
 	}
 }
 
-// propose makes the first member, which leads, propose an entry. The entry is not synced, and the messages with the entry are in flight.
-func (c *cluster) propose() *cluster {
+// proposeOnFirstMember makes the first member, which leads, propose an entry. The entry is not synced, and the messages with the entry are in flight.
+func (c *cluster) proposeOnFirstMember() *cluster {
 	c.members[0].replica.Propose(1, []byte("x"))
 	c.drainActions(0)
 	return c
@@ -627,8 +631,8 @@
 		c.deliverAmong([]int{0}, []int{1})
 		c.inflight = nil
 	}
-	c.compact(0)
-	c.compact(1)
+	c.compactLogOf(0)
+	c.compactLogOf(1)
 	c.syncAllWrites(0, 1)
 	// Remove the trailing log, as a restart does. Entries that the snapshot includes are then not in memory, so a member that lacks these
 	// entries needs the snapshot.
@@ -648,12 +652,12 @@
 // scenarios are the scenarios in which explore checks all invariants except those of quorum contact. See also contactScenarios.
 var scenarios = []scenario{
 	{"a proposal, an election and a crash", func(planted mutation) *cluster {
-		return newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1}).propose()
+		return newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1}).proposeOnFirstMember()
 	}, []mutation{ackUnsynced, forgetVotes, voteBeforeSync, electByMinority, leadWithoutNewestLog}},
 	{"appends of a former leader arrive late", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).proposeOnFirstMember()
 		late := c.inflight
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		c.inflight = append(c.inflight, late...)
 		return c
 	}, []mutation{acceptStaleTerm}},
@@ -661,7 +665,7 @@
 		return newCluster(3, 0, planted, stepBudget{elections: 2, proposals: 1})
 	}, []mutation{ackUnsynced}},
 	{"a member restarts with an empty disk", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{elections: 1, wipes: 1, heartbeats: 1}).propose()
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, wipes: 1, heartbeats: 1}).proposeOnFirstMember()
 		c.deliverFromTo(0, 2)
 		return c
 	}, []mutation{countWipedDisk}},
@@ -669,7 +673,7 @@
 		c := newCluster(3, 1, planted, stepBudget{elections: 1})
 		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
 		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
-			c.deliver(0)
+			c.deliverMessageAt(0)
 			if len(c.members[3].writes) > 0 {
 				c.syncNextWrite(3)
 			}
@@ -682,7 +686,7 @@
 		c.members[0].replica.config.MaxMessageBytes = 1 << 10
 		c.members[0].replica.AddMember(c.members[3].replica.self, 0)
 		c.drainActions(0)
-		c.propose().syncAllWrites(0)
+		c.proposeOnFirstMember().syncAllWrites(0)
 		for range 2 {
 			c.deliverFromTo(0, 3)
 			c.syncAllWrites(3)
@@ -700,39 +704,39 @@
 		return c
 	}, []mutation{voteTwice}},
 	{"an entry that only the former leader has", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose()
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).proposeOnFirstMember()
 		c.syncNextWrite(0)
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		return c
 	}, []mutation{skipTruncation}},
 	{"an uncommitted entry of an earlier term", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{elections: 1}).propose()
+		c := newCluster(3, 0, planted, stepBudget{elections: 1}).proposeOnFirstMember()
 		c.syncNextWrite(0)
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		c.sendHeartbeat(0)
 		c.deliverFromTo(0, 1)
 		c.deliverFromTo(1, 0)
-		c.electAmong(0, 2)
+		c.electWithVotesOf(0, 2)
 		c.members[1].replica.Step(1, Message{Kind: MsgRequestVote, ClusterID: c.members[1].replica.clusterID, Recipient: 2, Term: 4})
 		c.drainActions(1)
 		return c
 	}, []mutation{commitEarlierTerms}},
 	{"a proposal after an entry of another term", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		c := newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).proposeOnFirstMember()
 		c.syncNextWrite(0)
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		return c
 	}, []mutation{skipLogMatching}},
 	{"an acknowledgement arrives two terms late", func(planted mutation) *cluster {
-		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).propose().propose()
+		c := newCluster(3, 0, planted, stepBudget{elections: 1, crashes: 1, heartbeats: 1}).proposeOnFirstMember().proposeOnFirstMember()
 		c.deliverFromTo(0, 1)
 		c.syncAllWrites(1)
 		late := c.inflight
-		c.start(0)
-		c.electAmong(2, 0)
+		c.startMember(0)
+		c.electWithVotesOf(2, 0)
 		c.deliverFromTo(2, 1)
 		c.syncAllWrites(1)
-		c.electAmong(0, 2)
+		c.electWithVotesOf(0, 2)
 		c.inflight = append(c.inflight, late...)
 		return c
 	}, []mutation{countStaleAcks}},
@@ -756,10 +760,10 @@
 		c.deliverFromTo(0, 2)
 		c.deliverFromTo(2, 0)
 		// Deliver one chunk to the third member. Another chunk of the former leader stays in flight.
-		c.deliver(0)
+		c.deliverMessageAt(0)
 		late := c.inflight
 		c.commitOnFirstTwoMembers("d")
-		c.electAmong(1, 0)
+		c.electWithVotesOf(1, 0)
 		c.inflight = append(c.inflight, late...)
 		return c
 	}, []mutation{mixBlobs}},
@@ -769,7 +773,7 @@
 		c.drainActions(0)
 		late := c.inflight
 		c.deliverFromTo(0, 2)
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		c.deliverAmong([]int{1}, []int{2})
 		c.syncAllWrites(2)
 		c.deliverAmong([]int{2}, []int{1})
@@ -779,7 +783,7 @@
 		return c
 	}, []mutation{mixBlobs}},
 	{"five members: a proposal, an election and a crash", func(planted mutation) *cluster {
-		c := newCluster(5, 0, planted, stepBudget{crashes: 1}).propose()
+		c := newCluster(5, 0, planted, stepBudget{crashes: 1}).proposeOnFirstMember()
 		c.syncAllWrites(0)
 		late := slices.DeleteFunc(slices.Clone(c.inflight), func(m inflightMessage) bool { return m.send.Recipient.ID != c.members[2].disk.ID })
 		c.deliverFromTo(0, 1)
@@ -795,7 +799,7 @@
 		return c
 	}, []mutation{forgetVotes, voteBeforeSync, electByMinority}},
 	{"five members: another member than the candidate has the newest log", func(planted mutation) *cluster {
-		c := newCluster(5, 0, planted, stepBudget{elections: 1}).propose()
+		c := newCluster(5, 0, planted, stepBudget{elections: 1}).proposeOnFirstMember()
 		c.syncAllWrites(0)
 		c.deliverAmong([]int{0}, []int{1, 2})
 		c.syncAllWrites(1, 2)
@@ -806,15 +810,15 @@
 		return c
 	}, []mutation{leadWithoutNewestLog, electByMinority}},
 	{"five members: an entry that only two members have", func(planted mutation) *cluster {
-		c := newCluster(5, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).propose()
+		c := newCluster(5, 0, planted, stepBudget{proposals: 1, heartbeats: 1}).proposeOnFirstMember()
 		c.syncNextWrite(0)
 		c.deliverAmong([]int{0}, []int{1})
 		c.syncNextWrite(1)
-		c.electAmong(2, 3, 4)
+		c.electWithVotesOf(2, 3, 4)
 		return c
 	}, []mutation{skipTruncation, skipLogMatching}},
 	{"five members: a member restarts with an empty disk", func(planted mutation) *cluster {
-		c := newCluster(5, 0, planted, stepBudget{elections: 1, wipes: 1}).propose()
+		c := newCluster(5, 0, planted, stepBudget{elections: 1, wipes: 1}).proposeOnFirstMember()
 		c.syncNextWrite(0)
 		c.deliverAmong([]int{0}, []int{1, 2})
 		c.syncNextWrite(1)
@@ -824,41 +828,41 @@
 	}, []mutation{countWipedDisk}},
 	{"a lost member is replaced and the leader is lost", func(planted mutation) *cluster {
 		c := newCluster(3, 1, planted, stepBudget{elections: 1, losses: 1, restarts: 1, replacements: 1})
-		c.stop(2)
+		c.stopMember(2)
 		return c
 	}, []mutation{promoteEarly}},
 	{"a replaced member restarts and starts an election", func(planted mutation) *cluster {
 		c := newCluster(3, 1, planted, stepBudget{elections: 2, restarts: 1, proposals: 1}).replaceMember(2, 3)
-		c.propose()
+		c.proposeOnFirstMember()
 		c.deliverFromTo(0, 3)
 		c.syncAllWrites(0, 3)
 		return c
 	}, []mutation{ackUnsynced}},
 	{"an election among the previous members during a replacement", func(planted mutation) *cluster {
 		c := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1})
-		c.stop(2)
+		c.stopMember(2)
 		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
 		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
-			c.deliver(0)
+			c.deliverMessageAt(0)
 			c.syncAllWrites(3)
 		}
 		return c
 	}, []mutation{singleMajority}},
 	{"a learner is lost and another node becomes the learner", func(planted mutation) *cluster {
 		c := newCluster(3, 2, planted, stepBudget{elections: 1, restarts: 2, replacements: 1})
-		c.stop(2)
+		c.stopMember(2)
 		c.members[0].replica.AddMember(c.members[3].replica.self, 3)
 		c.drainActions(0)
 		c.deliverFromTo(0, 3)
 		c.deliverFromTo(3, 0)
-		c.stop(3)
+		c.stopMember(3)
 		c.members[0].replica.dropLearner()
 		return c
 	}, []mutation{promoteEarly}},
 	{"an empty disk at a member's address while another member is down", func(planted mutation) *cluster {
 		c := newCluster(3, 1, planted, stepBudget{elections: 1, restarts: 1, replacements: 1})
-		c.stop(2)
-		c.propose().deliverAll()
+		c.stopMember(2)
+		c.proposeOnFirstMember().syncAndDeliverAll()
 		c.wipeDisk(1)
 		c.members[0].replica.AddMember(c.members[1].replica.self, 0)
 		c.drainActions(0)
@@ -866,22 +870,22 @@
 	}, []mutation{countWipedDisk}},
 	{"five members: two members are lost and replaced one after the other", func(planted mutation) *cluster {
 		c := newCluster(5, 2, planted, stepBudget{elections: 1, losses: 1, replacements: 1}).replaceMember(4, 5)
-		c.stop(3)
+		c.stopMember(3)
 		return c
 	}, []mutation{promoteEarly}},
 	{"five members: a lost member starts an election during its replacement, and one more is lost", func(planted mutation) *cluster {
 		c := newCluster(5, 1, planted, stepBudget{losses: 1})
-		c.stop(4)
+		c.stopMember(4)
 		c.members[0].replica.AddMember(c.members[5].replica.self, 5)
 		for c.drainActions(0); c.members[0].replica.isLatestConfigCommitted(); c.drainActions(0) {
-			c.deliver(0)
+			c.deliverMessageAt(0)
 			c.syncAllWrites(5)
 		}
 		c.syncAllWrites(0)
 		c.deliverAmong([]int{0}, []int{1, 5})
 		c.syncAllWrites(1, 5)
 		late := c.inflight
-		c.start(4)
+		c.startMember(4)
 		c.members[4].replica.startElection()
 		c.drainActions(4)
 		c.syncAllWrites(4)
--- a/internal/gateway/replication/follower.go
+++ b/internal/gateway/replication/follower.go
@@ -35,7 +35,7 @@
 	if heartbeat {
 		r.replicatedElsewhere = m.ReplicatedElsewhere
 	}
-	r.installSnapshotIfNewer(m.Snapshot)
+	r.installSnapshotIfNeeded(m.Snapshot)
 	// Committed entries are the same on all members, so entries up to the commit index need no comparison.
 	if m.Index > r.commitIndex && !r.hasPreviousEntry(m) {
 		r.resetElectionDeadline()
@@ -43,10 +43,10 @@
 			Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock, AcceptsChunks: true})
 		return
 	}
-	r.appendAfter(m.Index, m.Entries)
+	r.appendEntriesAfter(m.Index, m.Entries)
 	r.resetElectionDeadline() // after appending, because a new member list determines whether this member may start elections
 	r.matchIndex = max(r.matchIndex, m.Index+uint64(len(m.Entries)))
-	r.commitTo(max(r.commitIndex, min(m.Commit, r.matchIndex)))
+	r.commitUpTo(max(r.commitIndex, min(m.Commit, r.matchIndex)))
 	r.receiveQuorumContact(m)
 	if r.matchIndex <= r.syncedIndex || r.readSeq > r.ackedReadSeq || heartbeat {
 		r.sendAck()
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// finishWrite completes the transaction of the node at nodeIndex on disk. If reportSynced is true, it also reports the writes
+// finishTransaction completes the transaction of the node at nodeIndex on disk. If reportSynced is true, it also reports the writes
 // to the replicas by ReportSynced.
-func (s *sharedDisk) finishWrite(nodeIndex int, reportSynced bool) {
+func (s *sharedDisk) finishTransaction(nodeIndex int, reportSynced bool) {
 	batch := s.writing[nodeIndex]
 	s.writing[nodeIndex] = nil
 	for _, w := range batch {
@@ -87,11 +87,11 @@
 	}
 }
 
-// restart starts the node at nodeIndex again with the contents of its disk. Writes that are not on disk are lost.
-func (s *sharedDisk) restart(nodeIndex int) {
+// restartNode starts the node at nodeIndex again with the contents of its disk. Writes that are not on disk are lost.
+func (s *sharedDisk) restartNode(nodeIndex int) {
 	s.queues[nodeIndex], s.writing[nodeIndex] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, c := range s.logs {
-		c.start(nodeIndex)
+		c.startMember(nodeIndex)
 	}
 }
 
@@ -105,23 +105,23 @@
 			}
 			description := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
 				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
-			visit(description, func(s *sharedDisk) { s.logs[log].deliver(n) })
+			visit(description, func(s *sharedDisk) { s.logs[log].deliverMessageAt(n) })
 			if s.budget.misrouted > 0 {
-				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
+				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.deliverToNextLog(log, n) })
 			}
 		}
 	}
 	for i := range s.queues {
 		if s.writing[i] != nil {
-			visit(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
+			visit(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishTransaction(i, true) })
 		}
 		if s.budget.crashes > 0 {
-			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
+			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restartNode(i) })
 			if s.writing[i] != nil {
 				visit(fmt.Sprintf("node %d completes a write, crashes before ReportSynced and restarts", i+1), func(s *sharedDisk) {
 					s.budget.crashes--
-					s.finishWrite(i, false)
-					s.restart(i)
+					s.finishTransaction(i, false)
+					s.restartNode(i)
 				})
 			}
 		}
@@ -145,8 +145,8 @@
 	}
 }
 
-// misroute delivers a message of one log to the recipient's replica of the next log.
-func (s *sharedDisk) misroute(log, position int) {
+// deliverToNextLog delivers a message of one log to the recipient's replica of the next log.
+func (s *sharedDisk) deliverToNextLog(log, position int) {
 	m := s.logs[log].inflight[position]
 	other := s.logs[(log+1)%len(s.logs)]
 	for i, member := range other.members {
@@ -244,16 +244,16 @@
 
 // propose makes the first member of a log propose an entry, and begins the write of the entry on that member's disk.
 func (s *sharedDisk) propose(log int) {
-	s.logs[log].propose()
+	s.logs[log].proposeOnFirstMember()
 	s.beginWrites()
 }
 
-// deliver delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
-func (s *sharedDisk) deliver(log int, from, to MemberID) {
+// deliverAllBetween delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
+func (s *sharedDisk) deliverAllBetween(log int, from, to MemberID) {
 	c := s.logs[log]
 	for n := 0; n < len(c.inflight); {
 		if m := c.inflight[n]; m.from == from && m.send.Recipient.ID == to {
-			c.deliver(n)
+			c.deliverMessageAt(n)
 		} else {
 			n++
 		}
@@ -270,24 +270,24 @@
 		s.logs[0].members[1].replica.startElection()
 		s.logs[0].drainActions(1)
 		s.beginWrites()
-		s.finishWrite(1, true)
+		s.finishTransaction(1, true)
 		s.beginWrites()
 	}, sharedBudget{elections: 1, crashes: 1}},
 	{"a vote, a proposal and a crash", func(s *sharedDisk) {
 		s.propose(0)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{elections: 1, proposals: 1, crashes: 1}},
 	{"queued writes", func(s *sharedDisk) {
 		for range 3 { // the first one is being written, the other two are pending
 			s.propose(0)
 		}
 		s.propose(1)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{crashes: 1}},
 	{"messages delivered to the wrong log", func(s *sharedDisk) {
 		s.propose(0)
 		s.propose(1)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{elections: 1, misrouted: 2}},
 }
 
--- a/internal/gateway/replication/leader.go
+++ b/internal/gateway/replication/leader.go
@@ -259,7 +259,7 @@
 			break
 		}
 		joint := !r.isLatestConfigCommitted()
-		r.commitTo(index)
+		r.commitUpTo(index)
 		r.nextHeartbeatAt = min(r.nextHeartbeatAt, r.now+r.config.CommitNotifyDelay)
 		if joint && r.isLatestConfigCommitted() {
 			r.exitJointConfiguration()
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -130,10 +130,10 @@
 	r.requireWriteFrom(index)
 }
 
-// appendAfter appends the entries of a message to this member's log. The caller has checked that this log equals the sender's log up to
+// appendEntriesAfter appends the entries of a message to this member's log. The caller has checked that this log equals the sender's log up to
 // prevIndex. Entries of this log are removed only from the first conflicting entry on. Entries after the last entry of the message stay
 // if there is no conflict: the message may have been delayed and then contains fewer entries than a message that was handled before.
-func (r *Replica) appendAfter(prevIndex uint64, entries []Entry) {
+func (r *Replica) appendEntriesAfter(prevIndex uint64, entries []Entry) {
 	for i, e := range entries {
 		consecutive := e.Index == prevIndex+1+uint64(i)
 		invariant.Assert(consecutive, "entries in a message have consecutive indexes")
@@ -157,8 +157,8 @@
 	}
 }
 
-// commitTo passes all entries up to an index to the host as committed, and finishes the proposals among them.
-func (r *Replica) commitTo(index uint64) {
+// commitUpTo passes all entries up to an index to the host as committed, and finishes the proposals among them.
+func (r *Replica) commitUpTo(index uint64) {
 	invariant.Assert(index <= r.log.lastIndex(), "only entries in the log are committed")
 	for r.commitIndex < min(index, r.log.lastIndex()) {
 		r.commitIndex++
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -152,14 +152,14 @@
 // isDraining reports whether a member has announced its shutdown.
 func (r *Replica) isDraining(id MemberID) bool { return r.lostSince[id] < r.now-drainingLostAge/2 }
 
-// unreachableSince returns since when a member counts as unreachable. This is the earlier of two times: `detected`, when the host detected
+// unreachableSince returns since when a member counts as unreachable. This is the earlier of two times: detectedAt, when the host detected
 // the loss, and the time of the member's last response to this leader. A host takes seconds to detect a loss. If the loss counted only
 // from its detection, the replacement would miss the deadline within which the cluster must tolerate the next loss.
-func (r *Replica) unreachableSince(id MemberID, detected time.Duration) time.Duration {
+func (r *Replica) unreachableSince(id MemberID, detectedAt time.Duration) time.Duration {
 	if peer := r.peers[id]; peer != nil && !r.hasMutation(lostFromDetection) {
-		return max(min(detected, peer.lastResponseAt), 1)
+		return max(min(detectedAt, peer.lastResponseAt), 1)
 	}
-	return detected
+	return detectedAt
 }
 
 // chooseLearner returns the learner candidate that receives the log. The order of preference is the present learner, a candidate
@@ -170,7 +170,7 @@
 	}
 	for _, isPreferred := range []func(Member) bool{
 		func(m Member) bool { return m.ID == r.learner },
-		func(m Member) bool { return r.memberAtAddressOf(m) != 0 && m.ID != r.lastDroppedLearner },
+		func(m Member) bool { return r.memberIDAtAddressOf(m) != 0 && m.ID != r.lastDroppedLearner },
 		func(m Member) bool { return m.ID > r.lastDroppedLearner },
 	} {
 		if i := slices.IndexFunc(candidates, isPreferred); i >= 0 {
@@ -180,9 +180,9 @@
 	return candidates[0], true
 }
 
-// memberAtAddressOf returns the member that is listed with the address of a learner; 0 if there is none. The disk of that member
+// memberIDAtAddressOf returns the member that is listed with the address of a learner; 0 if there is none. The disk of that member
 // is gone or at another address.
-func (r *Replica) memberAtAddressOf(learner Member) MemberID {
+func (r *Replica) memberIDAtAddressOf(learner Member) MemberID {
 	for _, m := range r.Members() {
 		if m.Addr == learner.Addr && m.ID != learner.ID {
 			return m.ID
@@ -195,7 +195,7 @@
 // replaces.
 func (r *Replica) reconcileLearner(learner Member, tolerates int) {
 	lost, since := r.longestLostMember()
-	switch atAddress := r.memberAtAddressOf(learner); {
+	switch atAddress := r.memberIDAtAddressOf(learner); {
 	case r.hasMutation(neverReplace):
 		r.AddMember(learner, 0)
 	case atAddress != 0:
@@ -216,10 +216,10 @@
 	if len(r.Members()) <= 2*tolerates || r.hasMutation(replaceAtOnce) {
 		return false
 	}
-	return lost != 0 || r.learner != learner.ID || !r.allRespondedSinceLearnerStart()
+	return lost != 0 || r.learner != learner.ID || !r.haveAllRespondedSinceLearnerStart()
 }
 
-func (r *Replica) allRespondedSinceLearnerStart() bool {
+func (r *Replica) haveAllRespondedSinceLearnerStart() bool {
 	for _, m := range r.otherMembers() {
 		if peer := r.peers[m.ID]; peer == nil || peer.lastResponseAt <= r.learnerStartedAt {
 			return false
@@ -271,7 +271,7 @@
 	if r.isMember(learner.ID) {
 		return r.role == roleLeader
 	}
-	if atAddress := r.memberAtAddressOf(learner); atAddress != 0 {
+	if atAddress := r.memberIDAtAddressOf(learner); atAddress != 0 {
 		replaces = atAddress // and no other member, since one change must not remove two members
 	}
 	members := slices.DeleteFunc(slices.Clone(r.Members()), func(m Member) bool { return m.ID == replaces })
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -14,19 +14,19 @@
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, node := range w.nodes {
 		if node.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
-			w.actionOnNode(i, func(node *simNode) { node.replica.ReconcileMembers(w.reachableFrom(i), tolerates) })()
+			w.actionOnNode(i, func(node *simNode) { node.replica.ReconcileMembers(w.reachableNodesFrom(i), tolerates) })()
 		}
 	}
 	w.schedule(w.randomDelay(300)+time.Millisecond, func() { w.reconcileMembers(tolerates) })
 }
 
-// reachableFrom returns the nodes that a node's host reaches. Hosts detect a stopped node only after detectionDelay.
-func (w *walk) reachableFrom(from int) (nodes []ReachableNode) {
+// reachableNodesFrom returns the nodes that a node's host reaches. Hosts detect a stopped node only after detectionDelay.
+func (w *walk) reachableNodesFrom(hostIndex int) (nodes []ReachableNode) {
 	for i, node := range w.nodes {
 		if node.replica == nil && node.formerMember.ID != 0 && w.now-node.stoppedAt < w.detectionDelay {
 			nodes = append(nodes, ReachableNode{Member: node.formerMember})
 		}
-		if node.replica != nil && !w.partitioned[[2]int{from, i}] && !w.partitioned[[2]int{i, from}] {
+		if node.replica != nil && !w.partitioned[[2]int{hostIndex, i}] && !w.partitioned[[2]int{i, hostIndex}] {
 			nodes = append(nodes, ReachableNode{Member{node.disk.ID, fmt.Sprint("node", i)}, node.draining})
 		}
 	}
@@ -36,12 +36,12 @@
 // addNode starts a new node with an empty disk, and returns its index.
 func (w *walk) addNode() int {
 	w.nodes = append(w.nodes, &simNode{})
-	w.startEmpty(len(w.nodes) - 1)
+	w.startNodeWithEmptyDisk(len(w.nodes) - 1)
 	return len(w.nodes) - 1
 }
 
-// stop ends the process of the node at nodeIndex. The node may be started again.
-func (w *walk) stop(nodeIndex int) {
+// stopNode ends the process of the node at nodeIndex. The node may be started again.
+func (w *walk) stopNode(nodeIndex int) {
 	w.nodes[nodeIndex].formerMember, w.nodes[nodeIndex].stoppedAt = Member{w.nodes[nodeIndex].disk.ID, fmt.Sprint("node", nodeIndex)}, w.now
 	w.nodes[nodeIndex].replica, w.nodes[nodeIndex].draining = nil, false
 	w.nodes[nodeIndex].incarnation++
@@ -87,7 +87,7 @@
 
 // runReplacementWalk runs a walk of five passes and returns the finished walk. With an even seed the cluster must tolerate one loss, with
 // an odd seed two. In each pass, members are lost and replaced. Either the tolerated number of members is lost at once, or up to that
-// number is lost one after the other by replaceMember. The setting catch_up allows a time after each pass, here 2 s plus 2 s for each
+// number is lost one after the other by replaceRandomMember. The setting catch_up allows a time after each pass, here 2 s plus 2 s for each
 // tolerated loss. After this time, the cluster must tolerate the same number of losses again.
 func runReplacementWalk(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
@@ -101,7 +101,7 @@
 		passStart := w.now
 		if w.rng.Intn(3) == 0 { // the tolerated number of members is lost at once
 			for range tolerates {
-				w.stop(w.randomMember())
+				w.stopNode(w.randomMemberIndex())
 			}
 			for range tolerates {
 				w.runUntil(w.now + w.randomDelay(2000))
@@ -109,7 +109,7 @@
 			}
 		} else {
 			for range 1 + w.rng.Intn(tolerates) {
-				w.replaceMember()
+				w.replaceRandomMember()
 			}
 		}
 		w.runUntil(max(w.now, passStart) + 100*time.Millisecond)
@@ -122,8 +122,8 @@
 	return w
 }
 
-// randomMember returns the index of a random running member. The leader is chosen with a higher probability. It waits up to 3 s for a leader.
-func (w *walk) randomMember() int {
+// randomMemberIndex returns the index of a random running member. The leader is chosen with a higher probability. It waits up to 3 s for a leader.
+func (w *walk) randomMemberIndex() int {
 	for end := w.now + 3*time.Second; w.leaderIndex() < 0 && w.now < end; {
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
@@ -144,9 +144,9 @@
 	return append(running, leader)[w.rng.Intn(len(running)+1)]
 }
 
-// replaceMember stops a member and starts a node that replaces it, in one of seven ways.
-func (w *walk) replaceMember() {
-	i := w.randomMember()
+// replaceRandomMember stops a random member and starts a node that replaces it, in one of seven ways.
+func (w *walk) replaceRandomMember() {
+	i := w.randomMemberIndex()
 	if w.violation != "" {
 		return
 	}
@@ -161,38 +161,38 @@
 		runAtMost(3000)
 		w.addNode()
 	case 2: // the member crashes, a first new node stops while it is the learner, a second new node joins
-		w.stop(i)
+		w.stopNode(i)
 		runAtMost(300)
 		firstNew := w.addNode()
 		runAtMost(400)
-		w.stop(firstNew)
+		w.stopNode(firstNew)
 		w.addNode()
 	case 3: // the member comes back with an empty disk
-		w.stop(i)
+		w.stopNode(i)
 		runAtMost(900)
-		w.startEmpty(i)
+		w.startNodeWithEmptyDisk(i)
 	case 4: // the member comes back with its disk after it was replaced
-		w.stop(i)
+		w.stopNode(i)
 		w.addNode()
 		runAtMost(6000)
-		w.start(i)
+		w.startNode(i)
 	case 5: // the member only restarts while a new node has joined: it must stay a member
 		memberID := w.nodes[i].disk.ID
-		w.stop(i)
+		w.stopNode(i)
 		w.addNode()
 		runAtMost(1500)
-		w.start(i)
+		w.startNode(i)
 		w.runUntil(w.now + 1500*time.Millisecond)
 		if leader := w.leaderIndex(); leader < 0 || !w.nodes[leader].replica.isMember(memberID) {
 			w.recordViolation("node %d was removed from the member list although it only restarted", i)
 		}
 	case 6: // no new node joins for 8 s: the member list must not get shorter than minMembers, or acknowledged entries are on fewer disks
-		w.stop(i)
+		w.stopNode(i)
 		w.runUntil(w.now + 8*time.Second)
 		if leader := w.leaderIndex(); leader >= 0 && len(w.nodes[leader].replica.Members()) < w.minMembers {
 			w.recordViolation("member list has %d members after a loss without a new node, want at least minMembers", len(w.nodes[leader].replica.Members()))
 		}
-		w.start(i)
+		w.startNode(i)
 	}
 }
 
@@ -212,7 +212,7 @@
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
-	w.stop(nodeIndex)
+	w.stopNode(nodeIndex)
 }
 
 // Guards against a cluster that takes too long to tolerate further losses after a loss. After each kind of replacement, and after the time
@@ -255,14 +255,14 @@
 	must.True(t, afterSync)
 	// A node that is not a member may shut down at once.
 	c := newCluster(3, 1, noMutation, stepBudget{}).replaceMember(2, 3)
-	c.start(2)
+	c.startMember(2)
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.members[0].replica.startLearner(c.members[2].replica.self, nil)
 	c.drainActions(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	removed := c.members[2].replica
 	must.Eq(t, c.members[0].replica.commitIndex, removed.CommitIndex())
 	must.Eq(t, removed.CommitIndex(), removed.IndexReplicatedElsewhere())
@@ -278,22 +278,22 @@
 	i := (w.leaderIndex() + 1) % 3
 	id := w.nodes[i].disk.ID
 	w.nodes = append(w.nodes, &simNode{disk: w.nodes[i].disk})
-	w.stop(i)
-	w.start(3)
+	w.stopNode(i)
+	w.startNode(3)
 	w.runUntil(w.now + time.Second)
 	members := w.nodes[w.leaderIndex()].replica.Members()
 	must.Len(t, 3, members)
 	must.True(t, slices.Contains(members, Member{id, "node3"}))
 	// An empty disk at the former address is a fourth member. It is not mistaken for the disk that moved.
-	w.startEmpty(i)
+	w.startNodeWithEmptyDisk(i)
 	w.runUntil(w.now + time.Second)
 	must.Len(t, 4, w.nodes[w.leaderIndex()].replica.Members())
 	must.Eq(t, "", w.violation)
 }
 
 // newTwoClusters sets up two clusters. The first cluster has three members, of which only `last` runs. The disk of `last` has the bootstrap
-// and, if voted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
-func newTwoClusters(planted mutation, voted bool) (c *cluster, last, other *Replica) {
+// and, if lastVoted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
+func newTwoClusters(planted mutation, lastVoted bool) (c *cluster, last, other *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
 	firstCluster := []Member{{8, "x"}, {9, "y"}, c.members[2].replica.self}
@@ -302,27 +302,27 @@
 			continue
 		}
 		c.members[i].disk = PersistentState{ID: c.members[i].disk.ID}
-		c.start(i)
+		c.startMember(i)
 		if c.members[i].replica.Bootstrap(members) != nil {
 			panic("bootstrap of a member list failed")
 		}
 		c.drainActions(i)
 	}
-	c.deliverAll()
-	if last = c.members[2].replica; voted {
+	c.syncAndDeliverAll()
+	if last = c.members[2].replica; lastVoted {
 		last.Step(8, Message{Kind: MsgRequestVote, ClusterID: last.clusterID, Recipient: last.self.ID, Term: 2})
 		c.drainActions(2)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 	}
 	c.members[3].replica.startElection()
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	other = c.members[3].replica
 	other.AddMember(last.self, 0)
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	return c, last, other
 }
 
@@ -350,10 +350,10 @@
 	replica := c.members[3].replica
 	must.NoError(t, replica.Bootstrap([]Member{{8, "x"}, {9, "y"}, replica.self}))
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	must.True(t, replica.DiscardBootstrap())
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	must.False(t, replica.Bootstrapped())
 	must.NoError(t, c.members[3].disk.Validate())
 	must.Eq(t, PersistentState{ID: replica.self.ID}, c.members[3].disk)
@@ -370,11 +370,11 @@
 	w.issueRequests()
 	w.runUntil(3 * time.Second)
 	leader := w.leaderIndex()
-	w.stop((leader + 1) % 3)
+	w.stopNode((leader + 1) % 3)
 	w.runUntil(w.now + 200*time.Millisecond)
 	w.addNode()
 	w.runUntil(w.now + 4*time.Second)
-	w.stop(leader)
+	w.stopNode(leader)
 	w.requireProgress()
 	return w.violation
 }
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -130,7 +130,7 @@
 
 // Guards against walks that overlook wrong reports of quorum contact.
 func TestContactWalksFindMutations(t *testing.T) {
-	requireMutationsDetected(t, runContactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
+	requireMutationsDetected(t, runQuorumContactWalk, 200, contactFromAckTime, contactFromAppendTime, contactBeforeNoOp, contactWhileLeading)
 }
 
 // Guards against walks that overlook wrong changes of the member list.
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -53,16 +53,16 @@
 
 // confirmedReadSeq returns the newest read sequence that a majority has acknowledged.
 func (r *Replica) confirmedReadSeq() (confirmed uint64) {
-	acknowledged := func(seq uint64) bool {
+	isAcknowledged := func(seq uint64) bool {
 		return r.hasQuorum(func(id MemberID) bool {
 			return id == r.self.ID || r.peers[id] != nil && r.peers[id].readSeq >= seq
 		})
 	}
-	if len(r.peers) == 0 && acknowledged(r.readSeq) {
+	if len(r.peers) == 0 && isAcknowledged(r.readSeq) {
 		return r.readSeq
 	}
 	for _, peer := range r.peers {
-		if peer.readSeq > confirmed && acknowledged(peer.readSeq) {
+		if peer.readSeq > confirmed && isAcknowledged(peer.readSeq) {
 			confirmed = peer.readSeq
 		}
 	}
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -133,8 +133,8 @@
 	if state.Snapshot.Index > 0 {
 		r.actions = append(r.actions, Restore{state.Snapshot.Index, state.Snapshot.State})
 	}
-	r.commitTo(state.Commit)
-	r.writeNeeded = false // commitTo requested a write for a committed member list, which is already on disk
+	r.commitUpTo(state.Commit)
+	r.writeNeeded = false // commitUpTo requested a write for a committed member list, which is already on disk
 	r.resetElectionDeadline()
 	return r
 }
--- a/internal/gateway/replication/snapshot.go
+++ b/internal/gateway/replication/snapshot.go
@@ -151,7 +151,7 @@
 		r.ackChunk(from, m, ack, joining)
 		return
 	}
-	m.attachData(complete)
+	m.attachChunkedData(complete)
 	if joining {
 		r.joinCluster(from, m)
 		return
@@ -187,8 +187,8 @@
 		Clock: r.clock.Timestamp(r.now), EchoedClock: r.leaderClock})
 }
 
-// attachData puts the data that was received in chunks into the message, as the state of its snapshot or the data of its entry.
-func (m *Message) attachData(data []byte) {
+// attachChunkedData puts the data that was received in chunks into the message, as the state of its snapshot or the data of its entry.
+func (m *Message) attachChunkedData(data []byte) {
 	if m.Snapshot != nil {
 		snapshot := *m.Snapshot
 		snapshot.State = data
@@ -206,9 +206,9 @@
 	return s != nil && s.Index > r.commitIndex && !r.log.hasEntry(s.Index, s.Term)
 }
 
-// installSnapshotIfNewer replaces the log and the host's state by a snapshot, if this member needs the snapshot. It does nothing if the
+// installSnapshotIfNeeded replaces the log and the host's state by a snapshot, if this member needs the snapshot. It does nothing if the
 // snapshot is nil.
-func (r *Replica) installSnapshotIfNewer(s *Snapshot) {
+func (r *Replica) installSnapshotIfNeeded(s *Snapshot) {
 	if !r.needsSnapshot(s) {
 		return
 	}
--- a/internal/gateway/replication/snapshot_test.go
+++ b/internal/gateway/replication/snapshot_test.go
@@ -31,15 +31,15 @@
 				}
 			}
 			before := c.members[2].replica.log.snapshot.Index
-			c.deliver(i)
+			c.deliverMessageAt(i)
 			if after := c.members[2].replica.log.snapshot.Index; after != before {
 				restores++
 			}
 			c.syncAllWrites(0, 1, 2)
 			i = 0
 		}
-		c.compact(0)
-		c.compact(1)
+		c.compactLogOf(0)
+		c.compactLogOf(1)
 		c.syncAllWrites(0, 1)
 		if !delivered {
 			c.sendHeartbeat(0)
@@ -78,11 +78,11 @@
 		c.deliverAmong([]int{1}, []int{2})
 	}
 	must.Eq(t, roleCandidate, c.members[1].replica.role)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	must.Eq(t, roleLeader, c.members[1].replica.role)
 	for range 9 {
 		c.sendHeartbeat(1)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 	}
 	must.Eq(t, "", c.violation)
 	must.Eq(t, c.members[1].replica.log.lastIndex(), c.members[2].replica.syncedIndex)
@@ -97,9 +97,9 @@
 	for range 300 {
 		replica.Propose(1, make([]byte, 1<<10))
 		c.drainActions(0)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 		c.sendHeartbeat(0)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 		replica.Compact(replica.commitIndex, make([]byte, 100<<10))
 		size := 0
 		for i := range replica.log.trailing {
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -61,8 +61,8 @@
 	lastWrite           Write
 	suspendedUntil      time.Duration // the process is suspended until this time
 	draining            bool
-	formerMember        Member        // the member that ran here before the last call of stop
-	stoppedAt           time.Duration // time of the last call of stop
+	formerMember        Member        // the member that ran here before the last call of stopNode
+	stoppedAt           time.Duration // time of the last call of stopNode
 }
 
 // event is a function that the simulation calls once the simulated time reaches the event's time.
@@ -81,8 +81,8 @@
 	return time.Duration(w.rng.Intn(maxMillis*1000)+1) * time.Microsecond
 }
 
-// start starts the node at nodeIndex with the contents of its disk.
-func (w *walk) start(nodeIndex int) {
+// startNode starts the node at nodeIndex with the contents of its disk.
+func (w *walk) startNode(nodeIndex int) {
 	node := w.nodes[nodeIndex]
 	node.incarnation++
 	node.appliedIndex, node.hostState, node.writeDoneAt, node.deadline = 0, "", 0, never
@@ -91,15 +91,15 @@
 	w.drainActions(nodeIndex)
 }
 
-// startEmpty starts the node at nodeIndex with an empty disk and a new member ID.
-func (w *walk) startEmpty(nodeIndex int) {
+// startNodeWithEmptyDisk starts the node at nodeIndex with an empty disk and a new member ID.
+func (w *walk) startNodeWithEmptyDisk(nodeIndex int) {
 	w.lastMemberID++
 	w.nodes[nodeIndex].disk = PersistentState{ID: w.lastMemberID}
-	w.start(nodeIndex)
+	w.startNode(nodeIndex)
 }
 
-// crashFor crashes the node at nodeIndex. After the downtime, it calls the function then with the node's index.
-func (w *walk) crashFor(nodeIndex int, downtime time.Duration, then func(int)) {
+// crashNodeFor crashes the node at nodeIndex. After the downtime, it calls the function then with the node's index.
+func (w *walk) crashNodeFor(nodeIndex int, downtime time.Duration, then func(int)) {
 	w.nodes[nodeIndex].replica = nil
 	w.nodes[nodeIndex].incarnation++
 	w.schedule(downtime, func() { then(nodeIndex) })
@@ -118,7 +118,7 @@
 	incarnation := w.nodes[nodeIndex].incarnation
 	var action func()
 	action = func() {
-		if node := w.nodes[nodeIndex]; node.incarnation == incarnation && node.replica != nil && !w.deferWhileSuspended(node, action) {
+		if node := w.nodes[nodeIndex]; node.incarnation == incarnation && node.replica != nil && !w.deferIfSuspended(node, action) {
 			node.replica.Tick(w.now)
 			do(node)
 			w.drainActions(nodeIndex)
@@ -226,7 +226,7 @@
 			action = func() {
 				// With faults, a late message may reach the next incarnation of the node.
 				if node.incarnation == incarnation || !w.faultless {
-					if node.replica != nil && !w.deferWhileSuspended(node, action) {
+					if node.replica != nil && !w.deferIfSuspended(node, action) {
 						node.replica.Tick(w.now)
 						node.replica.Step(id, send.Message)
 						w.drainActions(i)
@@ -336,12 +336,12 @@
 	switch w.rng.Intn(9) {
 	case 0, 1: // a crash: writes that were not synced are lost
 		if node.replica != nil {
-			w.crashFor(i, w.randomDelay(1500), w.start)
+			w.crashNodeFor(i, w.randomDelay(1500), w.startNode)
 		}
 	case 2: // a crash of all nodes at once
 		for i, node := range w.nodes {
 			if node.replica != nil {
-				w.crashFor(i, w.randomDelay(900), w.start)
+				w.crashNodeFor(i, w.randomDelay(900), w.startNode)
 			}
 		}
 	case 3: // a lost disk, in half of the cases with a crash of all other nodes
@@ -349,10 +349,10 @@
 			all := w.rng.Intn(2) == 0
 			for o, other := range w.nodes {
 				if all && o != i && other.replica != nil {
-					w.crashFor(o, w.randomDelay(900), w.start)
+					w.crashNodeFor(o, w.randomDelay(900), w.startNode)
 				}
 			}
-			w.crashFor(i, w.randomDelay(900), w.startEmpty)
+			w.crashNodeFor(i, w.randomDelay(900), w.startNodeWithEmptyDisk)
 		}
 	case 4, 5:
 		// Messages of one link are lost in one direction.
@@ -427,7 +427,7 @@
 	var members []Member
 	for i := range nodeCount {
 		w.nodes = append(w.nodes, &simNode{})
-		w.startEmpty(i)
+		w.startNodeWithEmptyDisk(i)
 		if i < initialMembers {
 			members = append(members, w.nodes[i].replica.self)
 		}
