--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -40,7 +40,7 @@
 }
 
 // enableQuorumContactChecks enables the check of quorum contact on c and returns c. The simulated time then advances only by steps. An
-// election timeout of one hour prevents that the time starts an election.
+// election timeout of one hour prevents elections that are not steps of explore.
 func enableQuorumContactChecks(c *cluster) *cluster {
 	for _, s := range c.members {
 		s.replica.config.ElectionTimeout = time.Hour
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -361,10 +361,8 @@
 	}
 }
 
-// stopMember stops the member at memberIndex. Its disk keeps the writes that were synced.
-func (c *cluster) stopMember(memberIndex int) {
-	c.members[memberIndex].down, c.members[memberIndex].writes = true, nil
-}
+// stopMember stops the member with this index. Its disk keeps the writes that were synced.
+func (c *cluster) stopMember(index int) { c.members[index].down, c.members[index].writes = true, nil }
 
 // forEachReplacement calls visit with each replacement that the leader at leaderIndex can begin. The new member is any running node that is
 // not a member, and the lost member is any member that has stopped.
@@ -914,7 +912,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			seen, violation := explore(s.build(noMutation), stateLimit(10_000))
-			t.Log("explored states:", seen)
+			t.Log(seen, "states explored")
 			must.Eq(t, "", violation)
 		})
 	}
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -79,7 +79,7 @@
 				t.Parallel()
 				began := time.Now()
 				seen, violation := explore(s.build(planted), stateLimit(20_000))
-				t.Log("states:", seen, "time:", time.Since(began), "violation:", violation)
+				t.Log(seen, "states explored; time and violation:", time.Since(began), violation)
 				must.NotEq(t, "", violation)
 			})
 		}
@@ -109,7 +109,7 @@
 			began := time.Now()
 			for seed := range walkCount {
 				if w := run(t, seed, planted); w.violation != "" {
-					t.Log("seed:", seed, "time:", time.Since(began), "violation:", w.violation)
+					t.Log("mutation detected; seed, time and violation:", seed, time.Since(began), w.violation)
 					return
 				}
 			}
