--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -111,7 +111,7 @@
 	return c
 }
 
-// startMember starts the member at memberIndex with the contents of its disk. Writes that were not synced are lost.
+// startMember starts the member at memberIndex with the contents of that member's disk. Writes that were not synced are lost.
 func (c *cluster) startMember(memberIndex int) {
 	s := c.members[memberIndex]
 	s.writes, s.down = nil, false
@@ -577,10 +577,8 @@
 	}
 }
 
-// deliverFromTo delivers all messages in flight from the member at fromIndex to the member at toIndex. All other messages in flight are lost.
-func (c *cluster) deliverFromTo(fromIndex, toIndex int) {
-	c.deliverAmong([]int{fromIndex}, []int{toIndex})
-}
+// deliverFromTo delivers all messages in flight from one member to another, given by their indexes. All other messages in flight are lost.
+func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
 
 // deliverAmong delivers all messages in flight from the members at fromIndexes to the members at toIndexes. All other messages
 // in flight are lost.
