--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -580,15 +580,13 @@
 // deliverFromTo delivers all messages in flight from one member to another, given by their indexes. All other messages in flight are lost.
 func (c *cluster) deliverFromTo(from, to int) { c.deliverAmong([]int{from}, []int{to}) }
 
-// deliverAmong delivers all messages in flight from the members at fromIndexes to the members at toIndexes. All other messages
-// in flight are lost.
-func (c *cluster) deliverAmong(fromIndexes, toIndexes []int) {
+// deliverAmong delivers all messages in flight that a member in from has sent to a member in to. Both parameters are lists of member indexes.
+// All other messages in flight are lost.
+func (c *cluster) deliverAmong(from, to []int) {
 	contains := func(which []int, id MemberID) bool {
 		return slices.ContainsFunc(which, func(i int) bool { return c.members[i].disk.ID == id })
 	}
-	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool {
-		return !contains(fromIndexes, f.from) || !contains(toIndexes, f.send.Recipient.ID)
-	})
+	c.inflight = slices.DeleteFunc(c.inflight, func(f inflightMessage) bool { return !contains(from, f.from) || !contains(to, f.send.Recipient.ID) })
 	for n := len(c.inflight); n > 0; n-- {
 		c.deliverMessageAt(0)
 	}
