--- a/internal/gateway/replication/bootstrap.go
+++ b/internal/gateway/replication/bootstrap.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// joinCluster joins the leader's cluster if the message contains a snapshot. Otherwise it requests the snapshot.
+// joinCluster joins the leader's cluster if the leader's message contains a snapshot. If the message has no snapshot, joinCluster rejects
+// the message, so that the leader sends its snapshot.
 func (r *Replica) joinCluster(from MemberID, m Message) {
 	if m.Kind == MsgAppend && m.Snapshot == nil {
 		r.sendToID(from, Message{Kind: MsgAppendReject, ClusterID: m.ClusterID, Term: m.Term, Seq: m.Seq, AcceptsChunks: true})
--- a/internal/gateway/replication/election.go
+++ b/internal/gateway/replication/election.go
@@ -231,7 +231,8 @@
 
 // onStaleTerm handles the response of a member that does not accept this member's term.
 func (r *Replica) onStaleTerm(from MemberID, m Message) {
-	// A majority may follow a newer term. A learner is no evidence of that, because it does not count for a majority.
+	// The member's newer term shows that a majority may follow a newer term. The response of a learner does not show this, because a
+	// learner does not count for a majority.
 	if r.role == roleLeader && m.Term > r.term && r.peers[from] != nil && from != r.learner {
 		r.stepDown()
 	}
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -18,7 +18,7 @@
 type cluster struct {
 	members   []*simMember
 	inflight  []inflightMessage
-	committed []Entry // from index 2 on, as the first member to apply an entry received it
+	committed []Entry // committed entries from index 2 on, as applied by the first member that applied each entry
 	// wipedDisks are the contents of disks just before they were erased. Their entries had been acknowledged correctly, so checkCommit
 	// counts these disks as copies.
 	wipedDisks     []PersistentState
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -15,7 +15,7 @@
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry // entries after the snapshot
-	// trailing contains the last entries up to the snapshot, for members that lack only a few entries. They are not on disk.
+	// trailing contains the last compacted entries, up to the snapshot's index, for members that lack only a few entries. It is not on disk.
 	trailing []Entry
 	// termBeforeTrailing is the term of the entry before trailing. An append that starts with the first trailing entry must name this term.
 	termBeforeTrailing uint64
--- a/internal/gateway/replication/membership.go
+++ b/internal/gateway/replication/membership.go
@@ -120,8 +120,8 @@
 	return !isReachable || isStalled && len(candidates) > 1
 }
 
-// updateLostMembers records for each lost member since when it is lost. A member is lost if the host does not reach its node or
-// if it missed more than maxMissedHeartbeats. A draining member also counts as lost.
+// updateLostMembers updates lostSince, which has the time of the loss for each lost member. A member is lost if the host does not reach its
+// node or if the member missed more than maxMissedHeartbeats. A draining member also counts as lost.
 func (r *Replica) updateLostMembers(reachable []ReachableNode) {
 	now := max(r.now, 1) // never 0, because 0 in lostSince means that the member is not lost
 	for id := range r.lostSince {
@@ -272,7 +272,7 @@
 		return r.role == roleLeader
 	}
 	if atAddress := r.memberIDAtAddressOf(learner); atAddress != 0 {
-		replaces = atAddress // and no other member, since one change must not remove two members
+		replaces = atAddress // and not the member that the caller named, because one change must not remove two members
 	}
 	members := slices.DeleteFunc(slices.Clone(r.Members()), func(m Member) bool { return m.ID == replaces })
 	if !r.startLearner(learner, append(members, learner)) {
--- a/internal/gateway/replication/progress.go
+++ b/internal/gateway/replication/progress.go
@@ -10,7 +10,7 @@
 type progress struct {
 	Member
 	nextIndex  uint64 // index of the next entry to send
-	matchIndex uint64 // the member's synced log equals the leader's up to this index
+	matchIndex uint64 // the member's synced log equals the leader's log up to this index
 	// Entries after inflightBase are in flight. inflightBase exceeds matchIndex when a retransmission or a snapshot skips some
 	// entries.
 	inflightBase      uint64
@@ -19,7 +19,7 @@
 	snapshotSentAt    time.Duration // when a snapshot was last sent in a single message
 	nextRetryAt       time.Duration // rejections before this time cause no retransmission
 	lastReceivedClock uint32        // newest clock received from the member
-	lastContactAt     time.Duration // latest time at which the member is known to have followed this term
+	lastContactAt     time.Duration // latest time at which the member is known to have followed this leader's term
 
 	// responded reports whether the member has responded in this term. Before the first response, acceptsChunks is not known.
 	responded     bool
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -12,7 +12,7 @@
 // requested before it started. The leader starts the next read sequence for later reads when the current one is confirmed, or with the
 // next regular heartbeat.
 
-// pendingRead is a read that finishes once its read sequence is confirmed.
+// pendingRead is a read that finishes once the read sequence with the number readSeq is confirmed.
 type pendingRead struct{ token, readSeq uint64 }
 
 // Read requests a read index. The Outcome contains this index. Once the host has applied all entries up to the index, its state includes
@@ -37,7 +37,8 @@
 }
 
 // broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum, it sends the sequence only to as many members as a majority
-// needs, and prefers those that responded last. If one of them does not respond, the next heartbeat sends the sequence to all members.
+// needs, and prefers the members that responded last. If one of the chosen members does not respond, the next heartbeat sends the read
+// sequence to all members.
 func (r *Replica) broadcastReadSeq() {
 	if !r.config.ReadMinimalQuorum || !r.isLatestConfigCommitted() {
 		r.broadcastHeartbeat()
--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -37,7 +37,7 @@
 	term            uint64
 	votedFor        MemberID // in term: the candidate that got the vote, or the leader
 	log             entryLog
-	memberConfigs   []memberConfig // the list of the snapshot and those in the log; never empty
+	memberConfigs   []memberConfig // the member list of the snapshot, then the member lists in the log; never empty
 	commitIndex     uint64
 	syncedIndex     uint64 // the log is on disk up to this index
 	bootstrapSynced bool   // the cluster ID is on disk
@@ -54,7 +54,7 @@
 	// State of a follower.
 	role                role
 	leaderID            MemberID      // leader of the current term; 0: not known
-	leaderContactAt     time.Duration // last message from the leader, or a later vote for a candidate
+	leaderContactAt     time.Duration // time of the last message from a leader or of a later vote for a candidate; earlier if the leader is lost
 	matchIndex          uint64        // the log equals the leader's up to this index
 	readSeq             uint64        // follower: the newest received from the leader; leader: the newest sent
 	ackedReadSeq        uint64        // the newest acknowledged to the leader
@@ -63,7 +63,7 @@
 
 	// Elections: see election.go.
 	sawLeader         bool // a leader of any term was seen since the process started
-	failedElections   int  // number of elections since the last contact with a leader
+	failedElections   int  // number of own elections since this member last led or received a message from a leader
 	electionStartedAt time.Duration
 	electionDeadline  time.Duration
 	announcedDeadline time.Duration            // the deadline of the last Wake
--- a/internal/gateway/replication/testingknobs.go
+++ b/internal/gateway/replication/testingknobs.go
@@ -47,7 +47,7 @@
 	replaceAtOnce      // replaces members that may only be restarting
 	shrinkBelowMinimum // removes lost members even if too few remain
 	keepDeadLearner    // keeps a learner that does not respond
-	drainEarly         // lets a draining member leave before the others have its entries
+	drainEarly         // lets a draining member shut down before the other members have its entries
 	lostFromDetection  // counts a member as lost only from when the host detects the loss, not from the member's last response
 )
 
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -21,7 +21,7 @@
 	now            time.Duration
 	nodes          []*simNode
 	events         []event
-	committed      []Entry           // from index 2 on, as the first node to apply an entry received it
+	committed      []Entry           // committed entries from index 2 on, as applied by the first node that applied each entry
 	hostStates     []string          // the host's state after each entry of committed
 	ackedIndex     uint64            // the highest index that was acknowledged to a caller
 	ackedAtRead    map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
