--- a/internal/gateway/replication/replica.go
+++ b/internal/gateway/replication/replica.go
@@ -44,10 +44,10 @@
 
 	// Writes: see durability.go.
 	nextWriteSeq       uint64 // sequence number of the next write
-	syncedWriteSeq     uint64
-	writeNeeded        bool   // the disk lacks some state
+	syncedWriteSeq     uint64 // sequence number of the last write that is on disk
+	writeNeeded        bool   // the disk lacks a part of the state
 	unwrittenFromIndex uint64 // index from which entries are not written yet; 0: none
-	unwrittenSnapshot  bool
+	unwrittenSnapshot  bool   // the snapshot is not written yet
 	unsyncedWrites     []unsyncedWrite
 	pendingReplies     []pendingReply
 
@@ -55,9 +55,9 @@
 	role                role
 	leaderID            MemberID      // leader of the current term; 0: not known
 	leaderContactAt     time.Duration // time of the last message from a leader or of a later vote for a candidate; earlier if the leader is lost
-	matchIndex          uint64        // the log equals the leader's up to this index
-	readSeq             uint64        // follower: the newest received from the leader; leader: the newest sent
-	ackedReadSeq        uint64        // the newest acknowledged to the leader
+	matchIndex          uint64        // this member's log equals the leader's log up to this index
+	readSeq             uint64        // newest read sequence: as received from the leader, or as sent by this leader
+	ackedReadSeq        uint64        // newest read sequence that was acknowledged to the leader
 	replicatedElsewhere uint64        // the leader's last Message.ReplicatedElsewhere: see IndexReplicatedElsewhere
 	incoming            BlobReceiver  // chunks from the leader
 
@@ -65,7 +65,7 @@
 	sawLeader         bool // a leader of any term was seen since the process started
 	failedElections   int  // number of own elections since this member last led or received a message from a leader
 	electionStartedAt time.Duration
-	electionDeadline  time.Duration
+	electionDeadline  time.Duration            // when the election timeout ends; never: no election
 	announcedDeadline time.Duration            // the deadline of the last Wake
 	maxSeenTerm       uint64                   // highest term in any message of this cluster
 	preVoteSeq        uint64                   // number of the current pre-vote attempt
@@ -93,7 +93,7 @@
 	// Membership changes: see membership.go.
 	lostSince          map[MemberID]time.Duration // lost members, with the time of the loss; also tracked on followers
 	learner            MemberID                   // 0: none
-	learnerConfig      memberConfig               // takes effect once the learner has caught up; nil members delay the promotion
+	learnerConfig      memberConfig               // member list that is appended once the learner has caught up; nil members delay the promotion
 	learnerStartedAt   time.Duration
 	learnerProgressAt  time.Duration // when the learner started or last acknowledged new entries
 	lastDroppedLearner MemberID      // 0: no learner was dropped
