--- a/internal/gateway/replication/contact_test.go
+++ b/internal/gateway/replication/contact_test.go
@@ -8,20 +8,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// Quorum contact is checked by an observer that knows the state of all members. What was acknowledged before the reported time must be
-// committed at the member that reports. No term newer than the reported one may have had a leader before that time. A suspended member
-// reports nothing. What it reports after it resumes is checked against the time of that report.
+// Quorum contact is the last time at which a majority is known to have followed the leader. Each member reports a time and a term of quorum
+// contact. The tests check these reports with knowledge of the state of all members. Everything that was acknowledged before the reported
+// time must be committed at the reporting member. No term newer than the reported term may have had a leader before the reported time.
+// A suspended member reports nothing. Its report after the suspension is checked like any other report at that time.
 
-// advanceTime advances the time of member i to the simulated time, before any other input.
-func (c *cluster) advanceTime(i int) {
-	if c.checksContact {
-		c.members[i].replica.Tick(c.now)
+// advanceTime advances the time of the member at memberIndex to the simulated time, before any other input.
+func (c *cluster) advanceTime(memberIndex int) {
+	if c.checksQuorumContact {
+		c.members[memberIndex].replica.Tick(c.now)
 	}
 }
 
-// checkContact checks the quorum contact that each member reports against the committed entries.
-func (c *cluster) checkContact() {
-	if !c.checksContact {
+// checkQuorumContact checks the quorum contact that each member reports against the committed entries.
+func (c *cluster) checkQuorumContact() {
+	if !c.checksQuorumContact {
 		return
 	}
 	for _, s := range c.members {
@@ -38,39 +39,39 @@
 	}
 }
 
-// withContactChecks enables the check of quorum contact. Only steps advance the time, and an election time-out of an hour keeps
-// time from starting an election.
-func withContactChecks(c *cluster) *cluster {
+// enableQuorumContactChecks enables the check of quorum contact on c and returns c. The simulated time then advances only by steps. An
+// election timeout of one hour prevents elections that are not steps of explore.
+func enableQuorumContactChecks(c *cluster) *cluster {
 	for _, s := range c.members {
 		s.replica.config.ElectionTimeout = time.Hour
 	}
-	c.checksContact = true
+	c.checksQuorumContact = true
 	for range 2 { // the second heartbeat brings back the clocks that the first one sent
 		c.now += time.Second
 		c.sendHeartbeat(0)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 	}
 	return c
 }
 
-// contactScenarios check the invariants of quorum contact too.
+// contactScenarios are scenarios in which explore also checks the invariants of quorum contact.
 var contactScenarios = []scenario{
 	{"a former leader receives late acknowledgements", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, heartbeats: 1, ticks: 2}))
 		c.sendHeartbeat(0)
 		c.deliverAmong([]int{0}, []int{1, 2})
 		late := c.inflight
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		c.deliverFromTo(1, 2)
 		c.syncAllWrites(2)
 		c.inflight = append(c.inflight, late...)
 		return c
 	}, []mutation{contactFromAckTime, contactWhileLeading}},
 	{"a follower receives late appends", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{proposals: 1, ticks: 2}))
 		c.sendHeartbeat(0)
 		late := c.inflight
-		c.electAmong(1, 0)
+		c.electWithVotesOf(1, 0)
 		c.deliverFromTo(1, 0)
 		c.syncAllWrites(0)
 		for _, m := range late {
@@ -81,17 +82,17 @@
 		return c
 	}, []mutation{contactFromAppendTime}},
 	{"a new leader that does not know which entries are committed", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 1})).proposeOnFirstMember()
 		c.syncAllWrites(0)
 		c.deliverFromTo(0, 1)
 		c.syncAllWrites(1)
 		c.deliverFromTo(1, 0) // the entry is committed
 		c.now += time.Second
-		c.electAmong(1, 2)
+		c.electWithVotesOf(1, 2)
 		return c
 	}, []mutation{contactBeforeNoOp}},
 	{"a follower that lacks committed entries", func(planted mutation) *cluster {
-		c := withContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).propose()
+		c := enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{ticks: 1, heartbeats: 2})).proposeOnFirstMember()
 		c.members[0].replica.Propose(2, []byte("y"))
 		c.drainActions(0)
 		c.syncAllWrites(0)
@@ -102,22 +103,23 @@
 		return c
 	}, []mutation{contactBeforeCommit}},
 	{"a partition, an election and a proposal", func(planted mutation) *cluster {
-		return withContactChecks(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
+		return enableQuorumContactChecks(newCluster(3, 0, planted, stepBudget{elections: 1, proposals: 1, heartbeats: 1, ticks: 2}))
 	}, nil},
 }
 
-// Guards against reports of quorum contact that are too new. They would let a host act on state that is older than it assumes. All
-// orders of messages, syncs, elections and seconds that pass are taken, up to a number of states.
+// Guards against a reported time of quorum contact that is too new. A host would then act on state that is older than the host assumes. The
+// test takes all orders of messages, syncs, elections and steps of one second, up to a number of states.
 func TestContactInAllOrdersIsNeverTooNew(t *testing.T) { requireNoViolation(t, contactScenarios) }
 
-// acknowledgement is when the proposal at an index was acknowledged.
+// acknowledgement records the time at which the proposal at a log index was acknowledged.
 type acknowledgement struct {
 	time  time.Duration
 	index uint64
 }
 
-// deferWhileSuspended reports whether the process of a node is suspended. If so, it schedules act for the time when the process resumes.
-func (w *walk) deferWhileSuspended(node *simNode, act func()) bool {
+// deferIfSuspended reports whether the process of a node is suspended. If the process is suspended, it schedules a call of act for the
+// end of the suspension.
+func (w *walk) deferIfSuspended(node *simNode, act func()) bool {
 	if node.suspendedUntil <= w.now {
 		return false
 	}
@@ -125,9 +127,9 @@
 	return true
 }
 
-// checkContact checks the quorum contact that node i reports against the acknowledged entries, and against the leaders of newer terms.
-func (w *walk) checkContact(i int) {
-	node := w.nodes[i]
+// checkQuorumContact checks the quorum contact that the node at nodeIndex reports against the acknowledged entries, and against the leaders of newer terms.
+func (w *walk) checkQuorumContact(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	if node.replica.role == roleLeader && w.leaderSince[node.replica.term] == 0 {
 		w.leaderSince[node.replica.term] = w.now
 	}
@@ -138,18 +140,19 @@
 	since := w.now - age
 	for n := len(w.acks) - 1; n >= 0 && w.acks[n].time >= since-time.Minute; n-- {
 		if a := w.acks[n]; a.time < since && a.index > node.appliedIndex {
-			w.recordViolation("node %d reports quorum contact at %v but lacks entry %d, which was acknowledged at %v", i, since, a.index, a.time)
+			w.recordViolation("node %d reports quorum contact at %v but lacks entry %d, which was acknowledged at %v", nodeIndex, since, a.index, a.time)
 		}
 	}
 	for ledTerm, at := range w.leaderSince {
 		if ledTerm > term && at < since {
-			w.recordViolation("node %d reports quorum contact at %v in term %d, but term %d already had a leader at %v", i, since, term, ledTerm, at)
+			w.recordViolation("node %d reports quorum contact at %v in term %d, but term %d already had a leader at %v", nodeIndex, since, term, ledTerm, at)
 		}
 	}
 }
 
-// suspendOrPartition suspends a node, or blocks its links one way or both, for up to 5 s, many times as long as an election takes.
-// In at least two of three cases the node is the leader. Messages that wait in a suspended process or on a link arrive late.
+// suspendOrPartition suspends a node for up to 4 s, or partitions its links in one or both directions for up to 5 s. This is many times as
+// long as an election takes. If there is a leader, the leader is chosen in at least two of three cases. Messages to a suspended node are
+// handled after its suspension. The method schedules its own next call, and does nothing once the walk is faultless.
 func (w *walk) suspendOrPartition() {
 	if w.faultless {
 		return
@@ -176,18 +179,18 @@
 	w.schedule(w.randomDelay(3000), w.suspendOrPartition)
 }
 
-// runContactWalk returns a finished walk with the faults of suspendOrPartition for 30 s, and 10 s without faults.
-func runContactWalk(t *testing.T, seed int64, planted mutation) *walk {
+// runQuorumContactWalk runs a walk with the faults of suspendOrPartition until 30 s, and for 10 s more without faults. It returns the finished walk.
+func runQuorumContactWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return runWalkWithFaults(t, seed, planted, (*walk).suspendOrPartition, 30*time.Second)
 }
 
-// Guards against reports of quorum contact that are too new while nodes are suspended or partitioned. 10 s after the last fault,
-// all nodes must have been in contact with a majority within five heartbeats.
+// Guards against a reported time of quorum contact that is too new while nodes are suspended or partitioned. 10 s after the last fault, the
+// quorum contact of all nodes must be less than five heartbeat intervals old.
 func TestContactOnWalksIsNeverTooNew(t *testing.T) {
 	for seed := range int64(stateLimit(10_000) / 250) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := runContactWalk(t, seed, noMutation)
+			w := runQuorumContactWalk(t, seed, noMutation)
 			must.Eq(t, "", w.violation)
 			for i, node := range w.nodes {
 				age, _, ok := node.replica.QuorumContact(w.now)
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -12,25 +12,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedDisk is a state of several logs on the same disks, with a cluster for each log. All writes of a node go through one WriteQueue, and
-// a transaction of several logs is on disk completely or not at all. A message of one log may be delivered to another log.
+// sharedDisk is one state of a simulation in which several logs are on the same disks. Each log has its own cluster. All writes of a node
+// go through one WriteQueue, and a transaction with writes of several logs is on disk completely or not at all. A message of one log
+// may be delivered to another log.
 type sharedDisk struct {
 	logs      []*cluster
 	queues    []WriteQueue
-	writing   [][]LogWrite // by node: the transaction that is being written; nil: the disk is idle
+	writing   [][]LogWrite // by node index: the transaction that is being written; nil: the disk is idle
 	budget    sharedBudget
 	mutation  mutation
 	trace     *traceStep
 	violation string
 }
 
-// sharedBudget is how many more steps of each kind forEachNextStep may offer.
+// sharedBudget is the number of further steps of each kind that forEachNextStep may offer. A misrouted step delivers a message to the
+// next log.
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
-// newSharedDisk returns a number of logs on three disks, each log led by its first member, after the steps with which the scenario begins.
-func newSharedDisk(logs int, planted mutation, start sharedScenario) *sharedDisk {
+// newSharedDisk returns the initial state of a scenario: logCount logs on three disks. The first member leads each log. The scenario's
+// prepare function has been called.
+func newSharedDisk(logCount int, planted mutation, start sharedScenario) *sharedDisk {
 	s := &sharedDisk{queues: make([]WriteQueue, 3), writing: make([][]LogWrite, 3), budget: start.budget, mutation: planted}
-	for log := range logs {
+	for log := range logCount {
 		s.logs = append(s.logs, newClusterForLog(LogID(log), 3, 0, planted, stepBudget{}))
 	}
 	for i := range s.queues {
@@ -40,8 +43,8 @@
 	return s
 }
 
-// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk, as a node
-// does after it has processed its input.
+// beginWrites puts the writes of all replicas into the queues of their nodes, and begins a transaction on each idle disk. A real node does
+// the same after it has processed its input.
 func (s *sharedDisk) beginWrites() {
 	for log, c := range s.logs {
 		if c.violation != "" && s.violation == "" {
@@ -61,37 +64,38 @@
 	}
 }
 
-// finishWrite completes the transaction of node i on disk. If notified is true, the writes are reported to the replicas by ReportSynced.
-func (s *sharedDisk) finishWrite(i int, notified bool) {
-	batch := s.writing[i]
-	s.writing[i] = nil
+// finishTransaction completes the transaction of the node at nodeIndex on disk. If reportSynced is true, it also reports the writes
+// to the replicas by ReportSynced.
+func (s *sharedDisk) finishTransaction(nodeIndex int, reportSynced bool) {
+	batch := s.writing[nodeIndex]
+	s.writing[nodeIndex] = nil
 	for _, w := range batch {
-		s.logs[w.Log].members[i].disk.Apply(w.Write)
+		s.logs[w.Log].members[nodeIndex].disk.Apply(w.Write)
 	}
 	for _, w := range batch {
-		if notified {
+		if reportSynced {
 			c := s.logs[w.Log]
-			c.members[i].replica.ReportSynced(w.Write.Seq)
-			c.drainActions(i)
+			c.members[nodeIndex].replica.ReportSynced(w.Write.Seq)
+			c.drainActions(nodeIndex)
 		}
 	}
-	if notified && s.mutation == syncOtherLog {
-		for log, w := range s.queues[i].pending {
-			s.logs[log].members[i].replica.ReportSynced(w.Seq)
-			s.logs[log].drainActions(i)
+	if reportSynced && s.mutation == syncOtherLog {
+		for log, w := range s.queues[nodeIndex].pending {
+			s.logs[log].members[nodeIndex].replica.ReportSynced(w.Seq)
+			s.logs[log].drainActions(nodeIndex)
 		}
 	}
 }
 
-// restart starts node i again with what its disk has.
-func (s *sharedDisk) restart(i int) {
-	s.queues[i], s.writing[i] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
+// restartNode starts the node at nodeIndex again with the contents of its disk. Writes that are not on disk are lost.
+func (s *sharedDisk) restartNode(nodeIndex int) {
+	s.queues[nodeIndex], s.writing[nodeIndex] = WriteQueue{knobs: knobsFor(s.mutation)}, nil
 	for _, c := range s.logs {
-		c.start(i)
+		c.startMember(nodeIndex)
 	}
 }
 
-// forEachNextStep calls visit with each step that can come next.
+// forEachNextStep calls visit with each step that is possible in this state, and with a description of the step.
 func (s *sharedDisk) forEachNextStep(visit func(description string, step func(*sharedDisk))) {
 	for log, c := range s.logs {
 		for n, m := range c.inflight {
@@ -101,23 +105,23 @@
 			}
 			description := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
 				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
-			visit(description, func(s *sharedDisk) { s.logs[log].deliver(n) })
+			visit(description, func(s *sharedDisk) { s.logs[log].deliverMessageAt(n) })
 			if s.budget.misrouted > 0 {
-				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.misroute(log, n) })
+				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.deliverToNextLog(log, n) })
 			}
 		}
 	}
 	for i := range s.queues {
 		if s.writing[i] != nil {
-			visit(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishWrite(i, true) })
+			visit(fmt.Sprintf("node %d completes a write", i+1), func(s *sharedDisk) { s.finishTransaction(i, true) })
 		}
 		if s.budget.crashes > 0 {
-			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restart(i) })
+			visit(fmt.Sprintf("node %d crashes and restarts", i+1), func(s *sharedDisk) { s.budget.crashes--; s.restartNode(i) })
 			if s.writing[i] != nil {
 				visit(fmt.Sprintf("node %d completes a write, crashes before ReportSynced and restarts", i+1), func(s *sharedDisk) {
 					s.budget.crashes--
-					s.finishWrite(i, false)
-					s.restart(i)
+					s.finishTransaction(i, false)
+					s.restartNode(i)
 				})
 			}
 		}
@@ -141,8 +145,8 @@
 	}
 }
 
-// misroute delivers a message of one log to the recipient's replica of the next log.
-func (s *sharedDisk) misroute(log, position int) {
+// deliverToNextLog delivers a message of one log to the recipient's replica of the next log.
+func (s *sharedDisk) deliverToNextLog(log, position int) {
 	m := s.logs[log].inflight[position]
 	other := s.logs[(log+1)%len(s.logs)]
 	for i, member := range other.members {
@@ -153,7 +157,7 @@
 	}
 }
 
-// clone returns a copy on which steps can be taken without a change to the original.
+// clone returns a copy. A step that is taken on the copy does not change the original.
 func (s *sharedDisk) clone() *sharedDisk {
 	c := *s
 	c.logs, c.queues, c.writing = nil, slices.Clone(s.queues), slices.Clone(s.writing)
@@ -162,7 +166,7 @@
 	}
 	for i := range c.queues {
 		pending := map[LogID]*Write{}
-		// The writes themselves can be shared: Put replaces a pending write by a new one and changes none.
+		// The copy shares the writes with the original, because Put replaces a pending write and never changes it.
 		for log, w := range s.queues[i].pending {
 			pending[log] = w
 		}
@@ -171,7 +175,7 @@
 	return &c
 }
 
-// stateKey returns a hash by which states are distinguished: two states with the same key have the same next steps.
+// stateKey returns a hash of the state. States with the same key are considered equal, because the same steps are possible in them.
 func (s *sharedDisk) stateKey() uint64 {
 	b := fmt.Append(nil, s.budget)
 	write := func(w *Write) {
@@ -193,8 +197,9 @@
 	return maphash.Bytes(hashSeed, b)
 }
 
-// exploreShared is explore for several logs on the same disks.
-func exploreShared(s *sharedDisk, limit int) (seen int, violation string) {
+// exploreSharedDisk does the same as explore for several logs on the same disks: it takes all possible steps in every order, until
+// `limit` distinct states were seen or an invariant is violated. It returns the number of states, and the violation with its steps.
+func exploreSharedDisk(s *sharedDisk, limit int) (seen int, violation string) {
 	s.beginWrites()
 	visited := map[uint64]bool{s.stateKey(): true}
 	for queue := []*sharedDisk{s}; len(queue) > 0 && len(visited) < limit && violation == ""; {
@@ -230,25 +235,25 @@
 	return len(visited), violation
 }
 
-// sharedScenario is a state from which exploreShared takes all possible steps, and the budget of these steps.
+// sharedScenario is a state from which exploreSharedDisk takes all possible steps, and the budget of these steps.
 type sharedScenario struct {
 	name    string
 	prepare func(*sharedDisk)
 	budget  sharedBudget
 }
 
-// propose makes the first member of a log propose an entry, and begins to write the entry.
+// propose makes the first member of a log propose an entry, and begins the write of the entry on that member's disk.
 func (s *sharedDisk) propose(log int) {
-	s.logs[log].propose()
+	s.logs[log].proposeOnFirstMember()
 	s.beginWrites()
 }
 
-// deliver delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
-func (s *sharedDisk) deliver(log int, from, to MemberID) {
+// deliverAllBetween delivers all messages of a log that are in flight from one member to another. Other messages stay in flight.
+func (s *sharedDisk) deliverAllBetween(log int, from, to MemberID) {
 	c := s.logs[log]
 	for n := 0; n < len(c.inflight); {
 		if m := c.inflight[n]; m.from == from && m.send.Recipient.ID == to {
-			c.deliver(n)
+			c.deliverMessageAt(n)
 		} else {
 			n++
 		}
@@ -256,37 +261,38 @@
 	s.beginWrites()
 }
 
-// sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one of the logs meanwhile,
-// writes that queue, and messages that reach the wrong log. TestAllOrdersOverOneDiskFindMutations goes by their order.
+// sharedScenarios cover entries in two logs with a crash between the syncs of their writes, an election in one log during a write of the
+// other log, queued writes, and messages that reach the wrong log. TestAllOrdersOverOneDiskFindMutations refers to the scenarios by
+// their index.
 var sharedScenarios = []sharedScenario{
 	{"proposals and a crash", func(*sharedDisk) {}, sharedBudget{proposals: 2, crashes: 1}},
 	{"a vote and a crash", func(s *sharedDisk) {
 		s.logs[0].members[1].replica.startElection()
 		s.logs[0].drainActions(1)
 		s.beginWrites()
-		s.finishWrite(1, true)
+		s.finishTransaction(1, true)
 		s.beginWrites()
 	}, sharedBudget{elections: 1, crashes: 1}},
 	{"a vote, a proposal and a crash", func(s *sharedDisk) {
 		s.propose(0)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{elections: 1, proposals: 1, crashes: 1}},
 	{"queued writes", func(s *sharedDisk) {
 		for range 3 { // the first one is being written, the other two are pending
 			s.propose(0)
 		}
 		s.propose(1)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{crashes: 1}},
 	{"messages delivered to the wrong log", func(s *sharedDisk) {
 		s.propose(0)
 		s.propose(1)
-		s.deliver(0, 1, 2)
+		s.deliverAllBetween(0, 1, 2)
 	}, sharedBudget{elections: 1, misrouted: 2}},
 }
 
-// Guards against logs that violate the invariants of a single log because they share disks and links. All orders of messages, syncs and
-// crashes are taken. GROUP_STATES sets how many states of each scenario are explored; the default is 10,000.
+// Guards against logs that violate the invariants of a single log because they share disks and links with other logs. The test takes all
+// orders of messages, syncs and crashes. GROUP_STATES sets how many states of each scenario are explored. The default is 10,000.
 func TestAllOrdersOverOneDiskKeepInvariants(t *testing.T) {
 	limit := 10_000
 	if n, err := strconv.Atoi(os.Getenv("GROUP_STATES")); err == nil {
@@ -296,15 +302,15 @@
 		t.Run(start.name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			seen, violation := exploreShared(newSharedDisk(2, noMutation, start), limit)
+			seen, violation := exploreSharedDisk(newSharedDisk(2, noMutation, start), limit)
 			must.Eq(t, "", violation)
 			t.Logf("explored %d states in %v", seen, time.Since(began))
 		})
 	}
 }
 
-// Guards against a log whose writes are delayed without a bound by those of the others. Each transaction must have the write of the
-// configuration's log, the groups must take turns within maxBatchBytes, and no write may stay in the queue.
+// Guards against a log whose writes are delayed without a limit by the writes of other logs. Each transaction must contain the pending
+// write of the configuration log. The coordination groups must take turns within maxBatchBytes. No write may stay in the queue.
 func TestTransactionsAreBounded(t *testing.T) {
 	var queue WriteQueue
 	largeWrite := func(index uint64) Write {
@@ -337,8 +343,8 @@
 	must.Nil(t, queue.Take())
 }
 
-// Guards against a leadership transfer to another member than the named one, and against a transfer that takes more than a few round trips.
-// If the named member does not respond, another one must lead.
+// Guards against a leadership transfer to a member other than the one that TransferLeadershipTo names, and against a transfer that takes
+// more than a few round trips. If the named member does not respond, another member must lead.
 func TestLeadershipTransferToNamedMember(t *testing.T) {
 	w := newFaultlessWalk(t)
 	for range 4 {
@@ -361,8 +367,9 @@
 	must.Eq(t, "", w.violation)
 }
 
-// Guards against slow elections after the connection to the leader broke: a member then starts a pre-vote at once. The term must not change
-// while the other members still hear from the leader. If the leader is gone, another member must lead within half the election time-out.
+// Guards against slow elections after the connections to the leader broke. ReportUnreachable makes a member start a pre-vote at once. While
+// the other members still receive messages from the leader, the term must not change. If the leader has stopped, another member must
+// lead within half the election timeout.
 func TestUnreachableLeaderStartsElectionAtOnce(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
--- a/internal/gateway/replication/log.go
+++ b/internal/gateway/replication/log.go
@@ -10,18 +10,19 @@
 // takes more memory than its Size.
 const maxTrailingEntries = 4096
 
-// entryLog is a snapshot and the entries after it. It also keeps some compacted entries in memory. Callers may keep the slices that
-// its methods return.
+// entryLog is a snapshot and the entries after the snapshot. It also keeps some compacted entries in memory. Callers may keep the slices
+// that the methods of entryLog return.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry // entries after the snapshot
-	// trailing contains the last entries up to the snapshot, for members that lack only a few entries. They are not on disk.
+	// trailing contains the last compacted entries, up to the snapshot's index, for members that lack only a few entries. It is not on disk.
 	trailing []Entry
 	// termBeforeTrailing is the term of the entry before trailing. An append that starts with the first trailing entry must name this term.
 	termBeforeTrailing uint64
 }
 
-// firstIndex returns the index of the oldest entry in memory.
+// firstIndex returns the index of the oldest entry in memory, including the trailing entries. Without any entry, it returns the index
+// after the snapshot.
 func (e *entryLog) firstIndex() uint64 { return e.snapshot.Index + 1 - uint64(len(e.trailing)) }
 
 func (e *entryLog) lastIndex() uint64 { return e.snapshot.Index + uint64(len(e.entries)) }
@@ -88,8 +89,9 @@
 	e.entries = slices.Clone(e.entries[:index-e.snapshot.Index-1])
 }
 
-// compact replaces the log up to the snapshot's index by the snapshot. It keeps compacted entries in memory, up to the larger of
-// trailingBytes and the size of the snapshot's state. A member that lacks less than that receives entries instead of the snapshot.
+// compact replaces the log up to the snapshot's index by the snapshot. It keeps the newest compacted entries in memory. Their total size
+// is limited to the larger of trailingBytes and the size of the snapshot's state. A member that lacks only entries that are in memory
+// receives these entries instead of the snapshot.
 func (e *entryLog) compact(snapshot Snapshot, trailingBytes int) {
 	if len(e.trailing) == 0 {
 		e.termBeforeTrailing = e.snapshot.Term
@@ -125,12 +127,13 @@
 		r.memberConfigs = r.memberConfigs[:len(r.memberConfigs)-1]
 	}
 	r.lowerSyncedIndex(index - 1)
-	r.requireWrite(index)
+	r.requireWriteFrom(index)
 }
 
-// appendAfter appends the entries of a newer log, given that both logs are equal up to prevIndex. It removes own entries only from
-// the first conflicting one on: a delayed message may contain fewer entries than an earlier one, and must not remove the others.
-func (r *Replica) appendAfter(prevIndex uint64, entries []Entry) {
+// appendEntriesAfter appends the entries of a message to this member's log. The caller has checked that this log equals the sender's log up to
+// prevIndex. Entries of this log are removed only from the first conflicting entry on. Entries after the last entry of the message stay
+// if there is no conflict: the message may have been delayed and then contains fewer entries than a message that was handled before.
+func (r *Replica) appendEntriesAfter(prevIndex uint64, entries []Entry) {
 	for i, e := range entries {
 		consecutive := e.Index == prevIndex+1+uint64(i)
 		invariant.Assert(consecutive, "entries in a message have consecutive indexes")
@@ -146,7 +149,7 @@
 			}
 			r.truncateFrom(e.Index)
 		}
-		r.requireWrite(e.Index)
+		r.requireWriteFrom(e.Index)
 		for _, e := range entries[i:] {
 			r.appendEntry(e)
 		}
@@ -154,8 +157,8 @@
 	}
 }
 
-// commitTo passes all entries up to an index to the host as committed, and finishes the proposals among them.
-func (r *Replica) commitTo(index uint64) {
+// commitUpTo passes all entries up to an index to the host as committed, and finishes the proposals among them.
+func (r *Replica) commitUpTo(index uint64) {
 	invariant.Assert(index <= r.log.lastIndex(), "only entries in the log are committed")
 	for r.commitIndex < min(index, r.log.lastIndex()) {
 		r.commitIndex++
@@ -168,12 +171,12 @@
 		if e.Kind == EntryConfigChange {
 			// The commit index is written to disk. After a restart, this member then needs only the majority of the new list, even
 			// if the other members that knew of the commit are gone.
-			r.requireWrite(0)
+			r.requireWriteFrom(0)
 		}
 	}
 }
 
-// Compact replaces the log up to a committed index by the host's state at that index.
+// Compact replaces the log up to a committed index by a snapshot. `state` is the host's state at that index.
 func (r *Replica) Compact(index uint64, state []byte) {
 	invariant.Assert(index <= r.commitIndex, "only committed entries are compacted")
 	if index <= r.log.snapshot.Index || index > r.commitIndex {
@@ -185,7 +188,7 @@
 	term, _ := r.log.termAt(index)
 	r.log.compact(Snapshot{Index: index, Term: term, Members: r.memberConfigs[0].members, State: state}, r.config.TrailingBytes)
 	r.unwrittenSnapshot = true
-	r.requireWrite(0)
+	r.requireWriteFrom(0)
 }
 
 // FirstIndex returns the index of the oldest entry that EntriesAfter can return.
@@ -201,7 +204,7 @@
 	return entries[:min(uint64(len(entries)), max(upto, index)-index)], true
 }
 
-// UncompactedBytes returns the size of the entries after the snapshot, up to and including an index.
+// UncompactedBytes returns the total size of the entries after the snapshot, up to and including index `upto`.
 func (r *Replica) UncompactedBytes(upto uint64) int {
 	return r.log.bytesBetween(r.log.snapshot.Index, min(upto, r.log.lastIndex()))
 }
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -9,24 +9,24 @@
 	"github.com/shoenig/test/must"
 )
 
-// reconcileMembers calls ReconcileMembers at each replica with the nodes that its host reaches, and schedules the next call, as
-// hosts do. With faults, one call in four is left out.
+// reconcileMembers calls ReconcileMembers at each replica with the nodes that the replica's host reaches, and schedules its own next call.
+// Unless the walk is faultless, one call in four is skipped. `tolerates` is the number of losses that the cluster must survive.
 func (w *walk) reconcileMembers(tolerates int) {
 	for i, node := range w.nodes {
 		if node.replica != nil && (w.faultless || w.rng.Intn(4) > 0) {
-			w.actionOnNode(i, func(node *simNode) { node.replica.ReconcileMembers(w.reachableFrom(i), tolerates) })()
+			w.actionOnNode(i, func(node *simNode) { node.replica.ReconcileMembers(w.reachableNodesFrom(i), tolerates) })()
 		}
 	}
 	w.schedule(w.randomDelay(300)+time.Millisecond, func() { w.reconcileMembers(tolerates) })
 }
 
-// reachableFrom returns the nodes that a node's host reaches. Hosts detect a stopped node only after detectionDelay.
-func (w *walk) reachableFrom(from int) (nodes []ReachableNode) {
+// reachableNodesFrom returns the nodes that a node's host reaches. Hosts detect a stopped node only after detectionDelay.
+func (w *walk) reachableNodesFrom(hostIndex int) (nodes []ReachableNode) {
 	for i, node := range w.nodes {
 		if node.replica == nil && node.formerMember.ID != 0 && w.now-node.stoppedAt < w.detectionDelay {
 			nodes = append(nodes, ReachableNode{Member: node.formerMember})
 		}
-		if node.replica != nil && !w.partitioned[[2]int{from, i}] && !w.partitioned[[2]int{i, from}] {
+		if node.replica != nil && !w.partitioned[[2]int{hostIndex, i}] && !w.partitioned[[2]int{i, hostIndex}] {
 			nodes = append(nodes, ReachableNode{Member{node.disk.ID, fmt.Sprint("node", i)}, node.draining})
 		}
 	}
@@ -36,20 +36,20 @@
 // addNode starts a new node with an empty disk, and returns its index.
 func (w *walk) addNode() int {
 	w.nodes = append(w.nodes, &simNode{})
-	w.startEmpty(len(w.nodes) - 1)
+	w.startNodeWithEmptyDisk(len(w.nodes) - 1)
 	return len(w.nodes) - 1
 }
 
-// stop ends the process of node i. The node may be started again.
-func (w *walk) stop(i int) {
-	w.nodes[i].formerMember, w.nodes[i].stoppedAt = Member{w.nodes[i].disk.ID, fmt.Sprint("node", i)}, w.now
-	w.nodes[i].replica, w.nodes[i].draining = nil, false
-	w.nodes[i].incarnation++
+// stopNode ends the process of the node at nodeIndex. The node may be started again.
+func (w *walk) stopNode(nodeIndex int) {
+	w.nodes[nodeIndex].formerMember, w.nodes[nodeIndex].stoppedAt = Member{w.nodes[nodeIndex].disk.ID, fmt.Sprint("node", nodeIndex)}, w.now
+	w.nodes[nodeIndex].replica, w.nodes[nodeIndex].draining = nil, false
+	w.nodes[nodeIndex].incarnation++
 }
 
-// toleranceViolation checks, while no change of members is under way, that any members may be lost next, up to the number
-// `tolerates`. The remaining ones must be a majority of the list, and more than `tolerates` running members must have each
-// acknowledged entry on disk. It returns what is violated, or an empty string.
+// toleranceViolation checks that the cluster survives the loss of any `tolerates` members. It is called when no change of the member list
+// should be in progress. The remaining members must be a majority of the member list, and more than `tolerates` running members must
+// have each acknowledged entry on disk. It returns a description of the violation, or an empty string.
 func (w *walk) toleranceViolation(tolerates int) string {
 	leader := w.leaderIndex()
 	if leader < 0 {
@@ -60,7 +60,7 @@
 		if node.replica == nil || !replica.isMember(node.disk.ID) {
 			continue
 		}
-		// The newest entries may still be in flight to some members.
+		// A member may lack the last 9 entries, because they may still be in flight to the member.
 		if lastIndex := node.disk.Snapshot.Index + uint64(len(node.disk.Entries)); lastIndex+9 >= w.ackedIndex {
 			upToDate++
 			if lastIndex >= w.ackedIndex {
@@ -74,7 +74,7 @@
 	return ""
 }
 
-// requireProgress requires that a proposal is committed within 5 s. If the leader is lost, that takes up to two elections.
+// requireProgress records a violation if no proposal is committed within 5 s. If the leader is lost, a commit can take up to two elections.
 func (w *walk) requireProgress() {
 	ackedBefore := w.ackedProposals
 	for end := w.now + 5*time.Second; w.ackedProposals == ackedBefore && w.violation == "" && w.now < end; {
@@ -85,9 +85,10 @@
 	}
 }
 
-// runReplacementWalk returns a finished walk of five passes. In each pass members are lost and replaced: as many as are tolerated at
-// once, or up to that number one after the other by replaceMember. Within the time that the setting catch_up allows after that,
-// the cluster must tolerate the same number of losses again, and the next pass causes them.
+// runReplacementWalk runs a walk of five passes and returns the finished walk. With an even seed the cluster must tolerate one loss, with
+// an odd seed two. In each pass, members are lost and replaced. Either the tolerated number of members is lost at once, or up to that
+// number is lost one after the other by replaceRandomMember. The setting catch_up allows a time after each pass, here 2 s plus 2 s for each
+// tolerated loss. After this time, the cluster must tolerate the same number of losses again.
 func runReplacementWalk(t *testing.T, seed int64, planted mutation) *walk {
 	tolerates := 1 + int(seed%2)
 	w := newWalkWithMembers(t, 2*tolerates+1, 2*tolerates+1, seed, planted)
@@ -98,9 +99,9 @@
 	w.runUntil(3 * time.Second)
 	for range 5 {
 		passStart := w.now
-		if w.rng.Intn(3) == 0 { // all at once
+		if w.rng.Intn(3) == 0 { // the tolerated number of members is lost at once
 			for range tolerates {
-				w.stop(w.randomMember())
+				w.stopNode(w.randomMemberIndex())
 			}
 			for range tolerates {
 				w.runUntil(w.now + w.randomDelay(2000))
@@ -108,21 +109,21 @@
 			}
 		} else {
 			for range 1 + w.rng.Intn(tolerates) {
-				w.replaceMember()
+				w.replaceRandomMember()
 			}
 		}
 		w.runUntil(max(w.now, passStart) + 100*time.Millisecond)
 		w.requireProgress()
 		w.runUntil(w.now + catchUp)
 		if violation := w.toleranceViolation(tolerates); violation != "" {
-			w.recordViolation("%v after the last node started: %s", catchUp, violation)
+			w.recordViolation("cluster does not tolerate further losses %v after the last node started: %s", catchUp, violation)
 		}
 	}
 	return w
 }
 
-// randomMember returns a random member that runs, the leader with a higher probability.
-func (w *walk) randomMember() int {
+// randomMemberIndex returns the index of a random running member. The leader is chosen with a higher probability. It waits up to 3 s for a leader.
+func (w *walk) randomMemberIndex() int {
 	for end := w.now + 3*time.Second; w.leaderIndex() < 0 && w.now < end; {
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
@@ -143,9 +144,9 @@
 	return append(running, leader)[w.rng.Intn(len(running)+1)]
 }
 
-// replaceMember stops a member and starts a node that replaces it, in one of seven ways.
-func (w *walk) replaceMember() {
-	i := w.randomMember()
+// replaceRandomMember stops a random member and starts a node that replaces it, in one of seven ways.
+func (w *walk) replaceRandomMember() {
+	i := w.randomMemberIndex()
 	if w.violation != "" {
 		return
 	}
@@ -160,47 +161,48 @@
 		runAtMost(3000)
 		w.addNode()
 	case 2: // the member crashes, a first new node stops while it is the learner, a second new node joins
-		w.stop(i)
+		w.stopNode(i)
 		runAtMost(300)
 		firstNew := w.addNode()
 		runAtMost(400)
-		w.stop(firstNew)
+		w.stopNode(firstNew)
 		w.addNode()
 	case 3: // the member comes back with an empty disk
-		w.stop(i)
+		w.stopNode(i)
 		runAtMost(900)
-		w.startEmpty(i)
+		w.startNodeWithEmptyDisk(i)
 	case 4: // the member comes back with its disk after it was replaced
-		w.stop(i)
+		w.stopNode(i)
 		w.addNode()
 		runAtMost(6000)
-		w.start(i)
+		w.startNode(i)
 	case 5: // the member only restarts while a new node has joined: it must stay a member
 		memberID := w.nodes[i].disk.ID
-		w.stop(i)
+		w.stopNode(i)
 		w.addNode()
 		runAtMost(1500)
-		w.start(i)
+		w.startNode(i)
 		w.runUntil(w.now + 1500*time.Millisecond)
 		if leader := w.leaderIndex(); leader < 0 || !w.nodes[leader].replica.isMember(memberID) {
-			w.recordViolation("node %d was removed from the members although it only restarted", i)
+			w.recordViolation("node %d was removed from the member list although it only restarted", i)
 		}
-	case 6: // no new node joins for 8 s: the list must not get shorter than minMembers, so that acknowledged entries are on as many disks as before
-		w.stop(i)
+	case 6: // no new node joins for 8 s: the member list must not get shorter than minMembers, or acknowledged entries are on fewer disks
+		w.stopNode(i)
 		w.runUntil(w.now + 8*time.Second)
 		if leader := w.leaderIndex(); leader >= 0 && len(w.nodes[leader].replica.Members()) < w.minMembers {
-			w.recordViolation("the list has only %d members after a loss without a new node", len(w.nodes[leader].replica.Members()))
+			w.recordViolation("member list has %d members after a loss without a new node, want at least minMembers", len(w.nodes[leader].replica.Members()))
 		}
-		w.start(i)
+		w.startNode(i)
 	}
 }
 
-// shutDownGracefully ends node i as a draining node ends: once the other members have all entries that it has, or after 5 s.
-func (w *walk) shutDownGracefully(i int) {
-	node := w.nodes[i]
+// shutDownGracefully drains the node at nodeIndex and stops it. The node stops once a majority has all committed entries without counting
+// the node, but after 5 s at the latest.
+func (w *walk) shutDownGracefully(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	node.draining = true
 	for end := w.now + 5*time.Second; w.now < end && node.replica != nil && w.violation == ""; {
-		w.actionOnNode(i, func(node *simNode) {
+		w.actionOnNode(nodeIndex, func(node *simNode) {
 			if node.replica.IsLeader() {
 				node.replica.TransferLeadership()
 			}
@@ -210,19 +212,19 @@
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
-	w.stop(i)
+	w.stopNode(nodeIndex)
 }
 
-// Guards against a cluster that does not tolerate further losses in time. After each kind of replacement, the same number of members may be
-// lost again after the time that the setting catch_up allows.
+// Guards against a cluster that takes too long to tolerate further losses after a loss. After each kind of replacement, and after the time
+// that the setting catch_up allows for it, the cluster must tolerate the same number of losses again.
 func TestReplacementWalksTolerateFurtherLosses(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed int64) { must.Eq(t, "", runReplacementWalk(t, seed, noMutation).violation) })
 }
 
-// drainWithSlowDisk commits an entry while one member drains and the disk of another one hangs, so that only the leader and the
-// draining member have the entry on disk. It returns whether one of these two was allowed to shut down at once, and whether the
-// leader was once the disk works again.
-func drainWithSlowDisk(t *testing.T, planted mutation) (atOnce, afterSync bool) {
+// drainWithSlowDisk commits an entry while one member drains and the disk of another member hangs, so that only the leader and the
+// draining member have the entry on disk. mayStopAtOnce reports whether the leader or the draining member was allowed to shut down while
+// the disk hung. mayStopAfterSync reports whether the leader was allowed to shut down after the disk worked again.
+func drainWithSlowDisk(t *testing.T, planted mutation) (mayStopAtOnce, mayStopAfterSync bool) {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
 	w.faultless = true
@@ -238,36 +240,36 @@
 	must.Eq(t, 1, w.ackedProposals)
 	for _, i := range []int{leader, (leader + 2) % 3} { // the two members that have the entry on disk
 		replica := w.nodes[i].replica
-		atOnce = atOnce || replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
+		mayStopAtOnce = mayStopAtOnce || replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 	}
 	w.runUntil(w.now + 2200*time.Millisecond)
 	replica := w.nodes[leader].replica
-	return atOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
+	return mayStopAtOnce, replica.IndexReplicatedElsewhere() >= replica.CommitIndex()
 }
 
-// Guards against the loss of an acknowledged entry when a member drains and another one is lost right after it. The draining member
-// must stay until a majority of the others has its entries.
+// Guards against the loss of an acknowledged entry if a member shuts down and another member is lost right after that. The draining member
+// must run until a majority has its committed entries without counting the draining member.
 func TestDrainingMemberStaysUntilReplicatedElsewhere(t *testing.T) {
 	atOnce, afterSync := drainWithSlowDisk(t, noMutation)
 	must.False(t, atOnce)
 	must.True(t, afterSync)
 	// A node that is not a member may shut down at once.
 	c := newCluster(3, 1, noMutation, stepBudget{}).replaceMember(2, 3)
-	c.start(2)
+	c.startMember(2)
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.members[0].replica.startLearner(c.members[2].replica.self, nil)
 	c.drainActions(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(0)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	removed := c.members[2].replica
 	must.Eq(t, c.members[0].replica.commitIndex, removed.CommitIndex())
 	must.Eq(t, removed.CommitIndex(), removed.IndexReplicatedElsewhere())
 }
 
-// Guards against a disk that loses its membership when it moves to another address. The list must be changed to the new address, with the
-// majorities of both lists.
+// Guards against a disk that loses its membership when it moves to another address. The leader must change the member list to the new
+// address. This change needs the majorities of both lists.
 func TestMovedDiskStaysMember(t *testing.T) {
 	w := newWalkWithMembers(t, 3, 3, 1, noMutation)
 	w.faultless = true
@@ -276,22 +278,22 @@
 	i := (w.leaderIndex() + 1) % 3
 	id := w.nodes[i].disk.ID
 	w.nodes = append(w.nodes, &simNode{disk: w.nodes[i].disk})
-	w.stop(i)
-	w.start(3)
+	w.stopNode(i)
+	w.startNode(3)
 	w.runUntil(w.now + time.Second)
 	members := w.nodes[w.leaderIndex()].replica.Members()
 	must.Len(t, 3, members)
 	must.True(t, slices.Contains(members, Member{id, "node3"}))
 	// An empty disk at the former address is a fourth member. It is not mistaken for the disk that moved.
-	w.startEmpty(i)
+	w.startNodeWithEmptyDisk(i)
 	w.runUntil(w.now + time.Second)
 	must.Len(t, 4, w.nodes[w.leaderIndex()].replica.Members())
 	must.Eq(t, "", w.violation)
 }
 
-// newTwoClusters sets up two clusters. The first has three members, of which only `last` runs: its disk has the bootstrap and, if
-// voted is true, a vote. The second has two members, led by `other`, which then adds `last` as a learner.
-func newTwoClusters(planted mutation, voted bool) (c *cluster, last, other *Replica) {
+// newTwoClusters sets up two clusters. The first cluster has three members, of which only `last` runs. The disk of `last` has the bootstrap
+// and, if lastVoted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
+func newTwoClusters(planted mutation, lastVoted bool) (c *cluster, last, other *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
 	firstCluster := []Member{{8, "x"}, {9, "y"}, c.members[2].replica.self}
@@ -300,33 +302,33 @@
 			continue
 		}
 		c.members[i].disk = PersistentState{ID: c.members[i].disk.ID}
-		c.start(i)
+		c.startMember(i)
 		if c.members[i].replica.Bootstrap(members) != nil {
 			panic("bootstrap of a member list failed")
 		}
 		c.drainActions(i)
 	}
-	c.deliverAll()
-	if last = c.members[2].replica; voted {
+	c.syncAndDeliverAll()
+	if last = c.members[2].replica; lastVoted {
 		last.Step(8, Message{Kind: MsgRequestVote, ClusterID: last.clusterID, Recipient: last.self.ID, Term: 2})
 		c.drainActions(2)
-		c.deliverAll()
+		c.syncAndDeliverAll()
 	}
 	c.members[3].replica.startElection()
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	other = c.members[3].replica
 	other.AddMember(last.self, 0)
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	c.sendHeartbeat(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	return c, last, other
 }
 
-// Guards against a disk that can't join any cluster because it has the bootstrap of a cluster that no other disk joined. It must
-// join another cluster when a leader there sends the state, as an empty disk does. It must not join if it has voted: its first
-// cluster may have committed entries with that vote.
+// Guards against a disk that cannot join any cluster because it has the bootstrap of a cluster that no other disk joined. If the leader of
+// another cluster sends its snapshot, the disk must join that cluster, like an empty disk. If the disk has voted, it must not join: its
+// first cluster may have committed entries with that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
 	_, last, other := newTwoClusters(noMutation, false)
 	must.Eq(t, other.clusterID, last.clusterID)
@@ -337,8 +339,9 @@
 	must.Eq(t, 2, last.term)
 }
 
-// Guards against a disk that stays unusable when the other members of its bootstrap are gone for good. The bootstrap can be
-// discarded, on disk as well, and the disk can be bootstrapped again. A disk that has more than a bootstrap must refuse.
+// Guards against a disk that stays unusable after the other members of its bootstrap are permanently lost. DiscardBootstrap must erase the
+// bootstrap in memory and on disk, and the disk can then be bootstrapped again. If a disk has more than a bootstrap, DiscardBootstrap
+// must return false.
 func TestBootstrapIsDiscarded(t *testing.T) {
 	c, _, _ := newTwoClusters(noMutation, true)
 	must.False(t, c.members[2].replica.DiscardBootstrap())
@@ -347,18 +350,18 @@
 	replica := c.members[3].replica
 	must.NoError(t, replica.Bootstrap([]Member{{8, "x"}, {9, "y"}, replica.self}))
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	must.True(t, replica.DiscardBootstrap())
 	c.drainActions(3)
-	c.deliverAll()
+	c.syncAndDeliverAll()
 	must.False(t, replica.Bootstrapped())
 	must.NoError(t, c.members[3].disk.Validate())
 	must.Eq(t, PersistentState{ID: replica.self.ID}, c.members[3].disk)
 	must.NoError(t, replica.Bootstrap([]Member{replica.self}))
 }
 
-// loseLeaderAfterReplacement stops a member, which hosts detect after 2.9 s, starts a new node 0.2 s after the stop, and stops the
-// leader 4 s after that. It returns the violation; empty if proposals are still committed.
+// loseLeaderAfterReplacement stops a member, starts a new node 0.2 s later, and stops the leader 4 s after the start of the new node. Hosts
+// detect a stopped member only after 2.9 s. It returns the violation, or an empty string if proposals are still committed.
 func loseLeaderAfterReplacement(t *testing.T, planted mutation) string {
 	t.Helper()
 	w := newWalkWithMembers(t, 3, 3, 1, planted)
@@ -367,17 +370,17 @@
 	w.issueRequests()
 	w.runUntil(3 * time.Second)
 	leader := w.leaderIndex()
-	w.stop((leader + 1) % 3)
+	w.stopNode((leader + 1) % 3)
 	w.runUntil(w.now + 200*time.Millisecond)
 	w.addNode()
 	w.runUntil(w.now + 4*time.Second)
-	w.stop(leader)
+	w.stopNode(leader)
 	w.requireProgress()
 	return w.violation
 }
 
-// Guards against a lost member that is replaced too late. The new node must be a member within the time that the setting catch_up
-// allows after its start, 4 s at the small sites. Another disk may be lost right after that, and proposals must still be committed.
-func TestLostMemberIsReplacedWithinCatchUp(t *testing.T) {
+// Guards against a lost member that is replaced too late. The setting catch_up is the time after the start of a new node until the node must
+// be a member, 4 s at the small sites. Another disk may be lost right after this time, and proposals must still be committed.
+func TestLostMemberIsReplacedWithinCatchUpTime(t *testing.T) {
 	must.Eq(t, "", loseLeaderAfterReplacement(t, noMutation))
 }
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -21,11 +21,11 @@
 	now            time.Duration
 	nodes          []*simNode
 	events         []event
-	committed      []Entry           // from index 2 on, as the first node to apply an entry received it
+	committed      []Entry           // committed entries from index 2 on, as applied by the first node that applied each entry
 	hostStates     []string          // the host's state after each entry of committed
 	ackedIndex     uint64            // the highest index that was acknowledged to a caller
 	ackedAtRead    map[uint64]uint64 // by token of a read: the highest acknowledged index when the read was requested
-	finishedTokens map[uint64]bool   // tokens that have an Outcome
+	finishedTokens map[uint64]bool   // tokens of proposals and reads that have an Outcome
 	partitioned    map[[2]int]bool   // links that lose all messages, each from one node to another
 	lastToken      uint64
 	lastMemberID   MemberID
@@ -33,15 +33,15 @@
 	ackedProposals int
 	// While faultless is true, no faults are injected and no message is lost, duplicated or late.
 	faultless      bool
-	minMembers     int           // a member list must not get shorter than this
+	minMembers     int           // minimum length of a member list; 0: not checked
 	detectionDelay time.Duration // time until a host detects that a node has stopped
 	syncDelay      time.Duration // added to the duration of each sync
 	config         Config
-	bytesSent      map[int]int // of state and data that were sent, by receiving node
-	violation      string
+	bytesSent      map[int]int // bytes of snapshot states and entry data that were sent to each node, by node index
+	violation      string      // the first violated invariant; empty: none
 
 	acks        []acknowledgement        // acknowledged proposals, in the order of time
-	leaderSince map[uint64]time.Duration // by term: when it was first seen to have a leader
+	leaderSince map[uint64]time.Duration // by term: when the term was first seen to have a leader
 }
 
 // simNode is a node of a walk, with its replica, which is nil while the process does not run, and its simulated disk.
@@ -51,7 +51,7 @@
 	// incarnation counts the starts and stops of the process.
 	incarnation   int
 	diskBusyUntil time.Duration // the disk completes no write before this time
-	// deadline is that of the last Wake.
+	// deadline is the Deadline of the last Wake.
 	deadline time.Duration
 	// appliedIndex is the index of the last applied entry, and hostState the state after it.
 	appliedIndex        uint64
@@ -61,97 +61,97 @@
 	lastWrite           Write
 	suspendedUntil      time.Duration // the process is suspended until this time
 	draining            bool
-	formerMember        Member        // the member that stop ended last
-	stoppedAt           time.Duration // when stop ended it
+	formerMember        Member        // the member that ran here before the last call of stopNode
+	stoppedAt           time.Duration // time of the last call of stopNode
 }
 
-// event is an action at a time.
+// event is a function that the simulation calls once the simulated time reaches the event's time.
 type event struct {
 	time   time.Duration
 	action func()
 }
 
-// schedule schedules do to be called after a delay.
+// schedule schedules a call of the function do after a delay.
 func (w *walk) schedule(delay time.Duration, do func()) {
 	w.events = append(w.events, event{w.now + delay, do})
 }
 
-// randomDelay returns a random duration of at most n milliseconds.
-func (w *walk) randomDelay(n int) time.Duration {
-	return time.Duration(w.rng.Intn(n*1000)+1) * time.Microsecond
+// randomDelay returns a random duration of at most maxMillis milliseconds.
+func (w *walk) randomDelay(maxMillis int) time.Duration {
+	return time.Duration(w.rng.Intn(maxMillis*1000)+1) * time.Microsecond
 }
 
-// start starts node i with what its disk has.
-func (w *walk) start(i int) {
-	node := w.nodes[i]
+// startNode starts the node at nodeIndex with the contents of its disk.
+func (w *walk) startNode(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	node.incarnation++
 	node.appliedIndex, node.hostState, node.writeDoneAt, node.deadline = 0, "", 0, never
 	node.diskBeforeLastWrite, node.lastWrite = node.disk, Write{}
-	node.replica = New(Member{node.disk.ID, fmt.Sprint("node", i)}, node.disk, w.config, w.rng.Int63(), w.now)
-	w.drainActions(i)
+	node.replica = New(Member{node.disk.ID, fmt.Sprint("node", nodeIndex)}, node.disk, w.config, w.rng.Int63(), w.now)
+	w.drainActions(nodeIndex)
 }
 
-// startEmpty starts node i with an empty disk and a new member ID.
-func (w *walk) startEmpty(i int) {
+// startNodeWithEmptyDisk starts the node at nodeIndex with an empty disk and a new member ID.
+func (w *walk) startNodeWithEmptyDisk(nodeIndex int) {
 	w.lastMemberID++
-	w.nodes[i].disk = PersistentState{ID: w.lastMemberID}
-	w.start(i)
+	w.nodes[nodeIndex].disk = PersistentState{ID: w.lastMemberID}
+	w.startNode(nodeIndex)
 }
 
-// crashFor crashes node i and calls then for it after a delay.
-func (w *walk) crashFor(i int, downtime time.Duration, then func(int)) {
-	w.nodes[i].replica = nil
-	w.nodes[i].incarnation++
-	w.schedule(downtime, func() { then(i) })
+// crashNodeFor crashes the node at nodeIndex. After the downtime, it calls the function then with the node's index.
+func (w *walk) crashNodeFor(nodeIndex int, downtime time.Duration, then func(int)) {
+	w.nodes[nodeIndex].replica = nil
+	w.nodes[nodeIndex].incarnation++
+	w.schedule(downtime, func() { then(nodeIndex) })
 }
 
-// recordViolation records a violation of an invariant with its time, if it is the first one.
+// recordViolation records the first violation of an invariant with its time. Later violations are ignored.
 func (w *walk) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// actionOnNode returns a function that advances the time of node i, calls do and carries out the node's actions. If the node has stopped or
+// actionOnNode returns a function that advances the time of the node at nodeIndex, calls do and carries out the node's actions. If the node has stopped or
 // restarted in the meantime, the function does nothing. If the node is suspended, the function runs once it resumes.
-func (w *walk) actionOnNode(i int, do func(*simNode)) func() {
-	incarnation := w.nodes[i].incarnation
+func (w *walk) actionOnNode(nodeIndex int, do func(*simNode)) func() {
+	incarnation := w.nodes[nodeIndex].incarnation
 	var action func()
 	action = func() {
-		if node := w.nodes[i]; node.incarnation == incarnation && node.replica != nil && !w.deferWhileSuspended(node, action) {
+		if node := w.nodes[nodeIndex]; node.incarnation == incarnation && node.replica != nil && !w.deferIfSuspended(node, action) {
 			node.replica.Tick(w.now)
 			do(node)
-			w.drainActions(i)
+			w.drainActions(nodeIndex)
 		}
 	}
 	return action
 }
 
-// drainActions carries out the actions of node i and checks them.
-func (w *walk) drainActions(i int) {
-	node := w.nodes[i]
+// drainActions carries out the actions of the node at nodeIndex and checks them.
+func (w *walk) drainActions(nodeIndex int) {
+	node := w.nodes[nodeIndex]
 	for a, ok := node.replica.Next(); ok; a, ok = node.replica.Next() {
 		switch a := a.(type) {
 		case Send:
-			w.transmit(i, a)
+			w.transmit(nodeIndex, a)
 		case Write:
-			w.checkMerge(i, a)
+			w.checkMerge(nodeIndex, a)
 			node.writeDoneAt = max(node.writeDoneAt, node.diskBusyUntil, w.now) + w.randomDelay(5) + w.syncDelay
-			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(i, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
+			w.schedule(node.writeDoneAt-w.now, w.actionOnNode(nodeIndex, func(node *simNode) { node.disk.Apply(a); node.replica.ReportSynced(a.Seq) }))
 		case Restore:
 			node.appliedIndex, node.hostState = a.Index, string(a.State)
 			if a.Index > 1 && (a.Index-2 >= uint64(len(w.hostStates)) || w.hostStates[a.Index-2] != node.hostState) {
-				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", i, a.Index)
+				w.recordViolation("node %d restored a state at index %d that differs from the state of the other nodes", nodeIndex, a.Index)
 			}
 		case Commit:
-			w.applyCommit(i, node, a.Entry)
+			w.applyCommit(nodeIndex, node, a.Entry)
 		case Outcome:
 			since, read := w.ackedAtRead[a.Token]
 			switch {
 			case !read && w.finishedTokens[a.Token]:
-				w.recordViolation("node %d returned a second Outcome for proposal token=%d: status=%v", i, a.Token, a.Status)
+				w.recordViolation("node %d returned a second Outcome for proposal token=%d: status=%v", nodeIndex, a.Token, a.Status)
 			case a.Status == OutcomeCommitted && !read && string(w.committed[a.Index-2].Data) != string(proposalData(a.Token)):
-				w.recordViolation("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", i, a.Token, a.Index)
+				w.recordViolation("node %d reported proposal token=%d as committed at index=%d, where another entry was committed", nodeIndex, a.Token, a.Index)
 			case a.Status != OutcomeCommitted:
 			case read && a.Index < since:
 				w.recordViolation("a read returned index=%d, want at least the acknowledged index %d", a.Index, since)
@@ -163,28 +163,28 @@
 			w.finishedTokens[a.Token] = true
 		case Wake:
 			if node.deadline = a.Deadline; a.Deadline < never {
-				w.schedule(a.Deadline-w.now, w.actionOnNode(i, func(*simNode) {}))
+				w.schedule(a.Deadline-w.now, w.actionOnNode(nodeIndex, func(*simNode) {}))
 			}
 		}
 	}
 	if node.replica.role == roleLeader && node.appliedIndex < w.ackedIndex && node.replica.log.lastIndex() < w.ackedIndex {
-		w.checkStaleLeader(i)
+		w.checkStaleLeader(nodeIndex)
 	}
-	w.checkContact(i)
+	w.checkQuorumContact(nodeIndex)
 }
 
-// checkStaleLeader checks that leader i, which lacks an acknowledged entry, leads an earlier term and not the newest one.
-func (w *walk) checkStaleLeader(i int) {
-	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[i].replica.term }) {
-		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", i, w.ackedIndex)
+// checkStaleLeader checks a leader that lacks an acknowledged entry: another node must already have a newer term on disk.
+func (w *walk) checkStaleLeader(nodeIndex int) {
+	if !slices.ContainsFunc(w.nodes, func(o *simNode) bool { return o.disk.Term > w.nodes[nodeIndex].replica.term }) {
+		w.recordViolation("node %d leads the newest term but lacks acknowledged entry %d", nodeIndex, w.ackedIndex)
 	}
 }
 
-// applyCommit applies an entry to the state of node i, and checks that the entry is the next one and the same as at the other nodes. It
+// applyCommit applies an entry to the state of the node at nodeIndex, and checks that the entry is the next one and the same as at the other nodes. It
 // compacts the log after one entry in twenty.
-func (w *walk) applyCommit(i int, node *simNode, e Entry) {
+func (w *walk) applyCommit(nodeIndex int, node *simNode, e Entry) {
 	if e.Index != max(node.appliedIndex, 1)+1 {
-		w.recordViolation("node %d applied index %d after index %d, want the next index", i, e.Index, node.appliedIndex)
+		w.recordViolation("node %d applied index %d after index %d, want the next index", nodeIndex, e.Index, node.appliedIndex)
 		return
 	}
 	sum := sha256.Sum256(append([]byte(node.hostState), e.Data...))
@@ -192,7 +192,7 @@
 	if position := e.Index - 2; position < uint64(len(w.committed)) {
 		if !isSameEntry(w.committed[position], e) {
 			w.recordViolation("index %d: the entry committed first has term %d, node %d applied a different entry of term %d",
-				e.Index, w.committed[position].Term, i, e.Term)
+				e.Index, w.committed[position].Term, nodeIndex, e.Term)
 		}
 	} else {
 		w.committed, w.hostStates = append(w.committed, e), append(w.hostStates, node.hostState)
@@ -204,11 +204,11 @@
 
 // transmit sends a message to the node at the recipient's address, or to the recipient's disk if no address is known. Unless the walk is
 // faultless, messages are lost, duplicated and delayed at random.
-func (w *walk) transmit(from int, send Send) {
-	id := w.nodes[from].disk.ID
+func (w *walk) transmit(senderIndex int, send Send) {
+	id := w.nodes[senderIndex].disk.ID
 	for i, node := range w.nodes {
 		isRecipient := send.Recipient.Addr == fmt.Sprint("node", i) || send.Recipient.Addr == "" && node.disk.ID == send.Recipient.ID
-		if !isRecipient || w.partitioned[[2]int{from, i}] {
+		if !isRecipient || w.partitioned[[2]int{senderIndex, i}] {
 			continue
 		}
 		w.bytesSent[i] += payloadBytes(send.Message)
@@ -226,7 +226,7 @@
 			action = func() {
 				// With faults, a late message may reach the next incarnation of the node.
 				if node.incarnation == incarnation || !w.faultless {
-					if node.replica != nil && !w.deferWhileSuspended(node, action) {
+					if node.replica != nil && !w.deferIfSuspended(node, action) {
 						node.replica.Tick(w.now)
 						node.replica.Step(id, send.Message)
 						w.drainActions(i)
@@ -238,9 +238,9 @@
 	}
 }
 
-// checkMerge checks that the merge of the last two writes of node i has the same effect on the disk as one write after the other.
-func (w *walk) checkMerge(i int, write Write) {
-	node := w.nodes[i]
+// checkMerge checks that the merge of the last two writes of the node at nodeIndex has the same effect on the disk as one write after the other.
+func (w *walk) checkMerge(nodeIndex int, write Write) {
+	node := w.nodes[nodeIndex]
 	if node.lastWrite.Seq > 0 {
 		merged, separate := node.diskBeforeLastWrite, node.diskBeforeLastWrite
 		merged.Apply(node.lastWrite.Merge(write))
@@ -248,13 +248,14 @@
 		node.diskBeforeLastWrite = separate
 		separate.Apply(write)
 		if fmt.Sprint(merged) != fmt.Sprint(separate) || merged.Validate() != nil {
-			w.recordViolation("node %d: disk is %v after the merged write, want %v as after two writes", i, merged, separate)
+			w.recordViolation("node %d: disk is %v after the merged write, want %v as after two writes", nodeIndex, merged, separate)
 		}
 	}
 	node.lastWrite = write
 }
 
-// proposalData returns data that contains the token. One token in eight has longer data, so that it goes in chunks where the seed is odd.
+// proposalData returns the data of a proposal, which contains the token. For one token in eight, the data is padded to 11 bytes. This
+// exceeds the MaxInflightBytes that newWalkWithConfig sets for odd seeds, so that such an entry is sent in chunks.
 func proposalData(token uint64) []byte {
 	if token%8 == 0 {
 		return fmt.Appendf(nil, "%011d", token)
@@ -262,7 +263,7 @@
 	return strconv.AppendUint(nil, token, 10)
 }
 
-// payloadBytes returns how many bytes of state and data a message has.
+// payloadBytes returns the number of bytes of snapshot state, chunk data and entry data in a message.
 func payloadBytes(m Message) (n int) {
 	if m.Snapshot != nil {
 		n += len(m.Snapshot.State)
@@ -276,7 +277,7 @@
 	return n
 }
 
-// leaderIndex returns which node leads the newest term; -1 if none leads.
+// leaderIndex returns the index of the node that leads the newest term. It returns -1 if no node is a leader.
 func (w *walk) leaderIndex() (index int) {
 	index = -1
 	for i, node := range w.nodes {
@@ -287,8 +288,8 @@
 	return index
 }
 
-// allMembersInSync reports whether all members run and have the newest member list on disk as committed. Only then may a disk be
-// lost again.
+// allMembersInSync reports whether all members run and have the newest member list on disk as committed. A fault may erase a disk only
+// if this is true.
 func (w *walk) allMembersInSync() bool {
 	leader := w.leaderIndex()
 	if leader < 0 || !w.nodes[leader].replica.canReconfigure() {
@@ -305,7 +306,7 @@
 	return true
 }
 
-// issueRequests sends up to two proposals or reads, most of them to the leader, and schedules the next call.
+// issueRequests issues up to two proposals or reads, most of them at the leader, and schedules its own next call.
 func (w *walk) issueRequests() {
 	for range w.rng.Intn(3) {
 		w.lastToken++
@@ -325,7 +326,7 @@
 	w.schedule(w.randomDelay(120), w.issueRequests)
 }
 
-// injectFault injects a random fault and schedules the next call.
+// injectFault injects a random fault and schedules its own next call. It does nothing once the walk is faultless.
 func (w *walk) injectFault() {
 	if w.faultless {
 		return
@@ -335,12 +336,12 @@
 	switch w.rng.Intn(9) {
 	case 0, 1: // a crash: writes that were not synced are lost
 		if node.replica != nil {
-			w.crashFor(i, w.randomDelay(1500), w.start)
+			w.crashNodeFor(i, w.randomDelay(1500), w.startNode)
 		}
 	case 2: // a crash of all nodes at once
 		for i, node := range w.nodes {
 			if node.replica != nil {
-				w.crashFor(i, w.randomDelay(900), w.start)
+				w.crashNodeFor(i, w.randomDelay(900), w.startNode)
 			}
 		}
 	case 3: // a lost disk, in half of the cases with a crash of all other nodes
@@ -348,10 +349,10 @@
 			all := w.rng.Intn(2) == 0
 			for o, other := range w.nodes {
 				if all && o != i && other.replica != nil {
-					w.crashFor(o, w.randomDelay(900), w.start)
+					w.crashNodeFor(o, w.randomDelay(900), w.startNode)
 				}
 			}
-			w.crashFor(i, w.randomDelay(900), w.startEmpty)
+			w.crashNodeFor(i, w.randomDelay(900), w.startNodeWithEmptyDisk)
 		}
 	case 4, 5:
 		// Messages of one link are lost in one direction.
@@ -404,29 +405,29 @@
 }
 
 // newWalk returns a walk with a number of nodes, of which the first three are the first members.
-func newWalk(t *testing.T, nodes int, seed int64, planted mutation) *walk {
-	return newWalkWithMembers(t, nodes, 3, seed, planted)
+func newWalk(t *testing.T, nodeCount int, seed int64, planted mutation) *walk {
+	return newWalkWithMembers(t, nodeCount, 3, seed, planted)
 }
 
 // newWalkWithMembers returns a walk with a number of nodes, of which the first ones are the initial members.
-func newWalkWithMembers(t *testing.T, nodes, initialMembers int, seed int64, planted mutation) *walk {
-	return newWalkWithConfig(t, DefaultConfig(), nodes, initialMembers, seed, planted)
+func newWalkWithMembers(t *testing.T, nodeCount, initialMembers int, seed int64, planted mutation) *walk {
+	return newWalkWithConfig(t, DefaultConfig(), nodeCount, initialMembers, seed, planted)
 }
 
-// newWalkWithConfig is newWalkWithMembers with another Config than the default.
-func newWalkWithConfig(t *testing.T, config Config, nodes, initialMembers int, seed int64, planted mutation) *walk {
+// newWalkWithConfig returns a walk like newWalkWithMembers, but with the given Config instead of DefaultConfig.
+func newWalkWithConfig(t *testing.T, config Config, nodeCount, initialMembers int, seed int64, planted mutation) *walk {
 	w := &walk{t: t, rng: rand.New(rand.NewSource(seed)), config: config, bytesSent: map[int]int{}}
 	w.config.TestingKnobs = knobsFor(planted)
-	// Snapshots and one proposal in eight go in chunks.
+	// With an odd seed, data above 4 bytes is sent in chunks: all snapshots, and the longer one of eight proposals (see proposalData).
 	if seed%2 == 1 {
 		w.config.MaxInflightBytes, w.config.ChunkBytes, w.config.TrailingBytes = 4, 2, 300
 	}
 	w.leaderSince = map[uint64]time.Duration{}
 	w.partitioned, w.ackedAtRead, w.finishedTokens = map[[2]int]bool{}, map[uint64]uint64{}, map[uint64]bool{}
 	var members []Member
-	for i := range nodes {
+	for i := range nodeCount {
 		w.nodes = append(w.nodes, &simNode{})
-		w.startEmpty(i)
+		w.startNodeWithEmptyDisk(i)
 		if i < initialMembers {
 			members = append(members, w.nodes[i].replica.self)
 		}
@@ -437,22 +438,23 @@
 	return w
 }
 
-// runFaultWalk returns a finished walk with the faults of injectFault for 40 s, and 10 s without faults.
+// runFaultWalk runs a walk with the faults of injectFault until 40 s, and for 10 s more without faults. It returns the finished walk.
 func runFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return runWalkWithFaults(t, seed, planted, (*walk).injectFault, 40*time.Second)
 }
 
-// runWalkWithFaults returns a finished walk on three to five nodes, with faults until a time and 10 s without faults after it.
+// runWalkWithFaults runs a walk on three to five nodes, with faults until a simulated time and for 10 s more without faults. It returns
+// the finished walk.
 func runWalkWithFaults(t *testing.T, seed int64, planted mutation, injectFaults func(*walk), until time.Duration) *walk {
 	return newWalk(t, 3+int(seed%3), seed, planted).runWithFaults(injectFaults, until)
 }
 
-// runGroupFaultWalk is runFaultWalk with the configuration of a coordination group.
+// runGroupFaultWalk runs a walk like runFaultWalk, but with the configuration of a coordination group (GroupConfig).
 func runGroupFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
 	return newWalkWithConfig(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
 
-// runWithFaults runs a walk with faults until a time and 10 s without faults after it.
+// runWithFaults runs a walk with faults until a simulated time, and for 10 s more without faults.
 func (w *walk) runWithFaults(injectFaults func(*walk), until time.Duration) *walk {
 	w.reconcileMembers(1)
 	w.issueRequests()
@@ -482,12 +484,12 @@
 // from the faults within 10 s.
 func TestWalksKeepInvariants(t *testing.T) { requireRecovery(t, runFaultWalk) }
 
-// Guards against the same faults with the configuration of a coordination group: shorter election time-outs, and read sequences that are
-// sent to a bare majority.
+// Guards against diverging logs, lost acknowledged entries and stale reads with the configuration of a coordination group, which has
+// shorter election timeouts and sends read sequences only to as many members as a majority needs.
 func TestWalksOfGroupsKeepInvariants(t *testing.T) { requireRecovery(t, runGroupFaultWalk) }
 
-// requireRecovery requires of each seed's walk that no invariant is violated, and that 10 s after the last fault a leader commits proposals
-// and all nodes are members that have nearly all acknowledged entries.
+// requireRecovery runs a walk for each seed. It requires that no invariant is violated. 10 s after the last fault, a leader must commit
+// proposals, and all nodes must be members that have applied all but the last 9 acknowledged entries.
 func requireRecovery(t *testing.T, run func(*testing.T, int64, mutation) *walk) {
 	forEachSeed(t, func(t *testing.T, seed int64) {
 		w := run(t, seed, noMutation)
@@ -504,8 +506,8 @@
 	})
 }
 
-// Guards against a leader that goes on leading while its messages arrive at the others but none arrive at it. It must step down within
-// QuorumTimeout and refuse proposals, and another member must lead.
+// Guards against a leader that continues to lead although it receives no messages, while its own messages still arrive at the other
+// members. The leader must step down within QuorumTimeout and refuse proposals, and another member must become leader.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
@@ -520,8 +522,8 @@
 	must.NotEq(t, leader, w.leaderIndex())
 }
 
-// Guards against a cluster without a leader where each sync takes longer than the first election time-out. Each failed election doubles the
-// time-out. Without that, no node led for as long as the disks of a machine were that slow.
+// Guards against a cluster that elects no leader because each sync takes longer than the first election timeout. Each failed election
+// doubles the timeout. Without this backoff, a cluster had no leader for as long as the disks were slow.
 func TestClusterWithSlowDisksElectsLeader(t *testing.T) {
 	for seed := range int64(20) {
 		w := newWalk(t, 3, seed, noMutation)
@@ -538,8 +540,8 @@
 	}
 }
 
-// Guards against a partitioned member that raises the term and deposes the leader when it comes back: the pre-vote must prevent that. Also
-// guards against a leadership transfer that takes longer than a few round trips.
+// Guards against a partitioned member that increases the term and deposes the leader when the partition heals: the pre-vote must keep the
+// term and the leader. Also guards against a leadership transfer that takes longer than a few round trips.
 func TestPreVoteAndLeadershipTransfer(t *testing.T) {
 	w := newFaultlessWalk(t)
 	leader := w.leaderIndex()
@@ -559,7 +561,7 @@
 	must.Eq(t, term+1, w.nodes[leader].replica.term)
 }
 
-// newFaultlessWalk returns a walk on three nodes without faults that has had time to elect a leader.
+// newFaultlessWalk returns a walk on three nodes without faults. The walk has run for 3 s and has a leader.
 func newFaultlessWalk(t *testing.T) *walk {
 	w := newWalk(t, 3, 1, noMutation)
 	w.faultless = true
@@ -568,8 +570,8 @@
 	return w
 }
 
-// Guards against a bootstrap that is incomplete for good because its node stopped before the other members had the list. Any member returns
-// the list while nothing else is known to be committed, and an empty disk must accept it like the first one.
+// Guards against a bootstrap that stays incomplete forever, because the node that started it stopped before the other members had the member
+// list. Any bootstrapped member must return the list, also after a restart, and an empty disk on the list must accept it.
 func TestAnyMemberReturnsBootstrapMembers(t *testing.T) {
 	members := []Member{{1, "a"}, {2, "b"}, {3, "c"}}
 	newReplica := func(id MemberID, state PersistentState) *Replica {
@@ -619,12 +621,12 @@
 	return longest, mean
 }
 
-// syncDelays are delays of syncs, from a fast disk to one that takes longer than the first election time-out.
+// syncDelays are the durations that are added to each sync, from a fast disk to a disk that is slower than the first election timeout.
 var syncDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond}
 
-// Guards against slow first elections between two members. Where a vote takes long to sync, both become candidates of the same
-// term, and neither gets a majority. Each then needed a longer time-out, up to seconds. Now the candidate with the lower ID starts
-// the next term at once.
+// Guards against slow first elections between two members. If a vote takes long to sync, both members become candidates of the same
+// term, and neither gets a majority. Earlier, both then waited for another and longer election timeout, up to seconds. Now the
+// candidate with the lower ID starts the next term at once.
 func TestTwoMembersElectLeaderSoon(t *testing.T) {
 	for _, syncDelay := range syncDelays {
 		longest, mean := electionTimes(t, syncDelay, noMutation)
