--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -257,12 +257,12 @@
 }
 
 // logSummary adds a decision to log a summary. It then resets the counts of txns that were given up.
-func (c *Controller) logSummary(ejected int) {
+func (c *Controller) logSummary(ejectedCount int) {
 	var fields []control.LogField
 	for reason, name := range reasonNames {
 		fields = append(fields, control.IntField(name, c.giveUpCounts[reason]))
 	}
-	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.IntField("ejected", ejected),
+	fields = append(fields, control.LogField{Name: "capacity", Value: c.capacity}, control.IntField("ejected", ejectedCount),
 		control.IntField("backends", len(c.readyBackends)), control.IntField("waiting", len(c.waiting)),
 		control.IntField("bad_datagrams", c.quota.BadDatagramCount()))
 	c.decisions = append(c.decisions, control.Decision{Action: control.Log, Entry: &control.LogEntry{Message: "txns given up", Fields: fields}})
--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -61,10 +61,10 @@
 func Example_txnIsFailedBeforeExpiry() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 2, 0)
-	s.advance(11997)
-	s.advance(11998)
+	s.advanceTo(11997)
+	s.advanceTo(11998)
 	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // the outcome of the submission comes after the answer
-	s.advance(12100)
+	s.advanceTo(12100)
 	fmt.Println(len(s.controller.txns), "txns remain")
 	// Output:
 	// 10000 ms: submit txn 1 to backend 1
@@ -135,7 +135,7 @@
 	}
 	s.changeEndpoints(true) // an empty list, so no backend is ready
 	s.addTxn(9, customerOwnedBy(0), 0, 0)
-	s.advance(10200)
+	s.advanceTo(10200)
 	// Output:
 	// 10000 ms: submit txn 1 to backend 3, after 446 ms
 	// 10000 ms: submit txn 2 to backend 3, after 446 ms
@@ -146,12 +146,12 @@
 
 // countSubmissionsTo returns the number of submissions to a backend from one time to another, both in milliseconds. A txn of product
 // 0 arrives every 10 ms.
-func (s *scenario) countSubmissionsTo(id control.BackendID, from, to int) (n int) {
-	for at := from; at < to; at += 10 {
+func (s *scenario) countSubmissionsTo(backendID control.BackendID, fromMillis, toMillis int) (n int) {
+	for at := fromMillis; at < toMillis; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
 		s.controller.TxnArrived(control.Txn{ID: control.TxnID(at), Customer: control.CustomerID(at), SetWidth: 3, Units: 1, Expiry: s.controller.now + time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
-			if x.Action == control.Submit && x.Backend == id {
+			if x.Action == control.Submit && x.Backend == backendID {
 				n++
 			}
 			if x.Action == control.Submit {
@@ -171,7 +171,7 @@
 		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
 	s = newScenario(defaultTestSettings(0), 0)
-	s.advance(20000)
+	s.advanceTo(20000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
 	fmt.Println("the only backend is warming up, so the rate of a warm backend is unknown:")
 	for at := 20000; at < 23000; at += 1000 {
@@ -194,7 +194,7 @@
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	s.advance(10000)
+	s.advanceTo(10000)
 	s.controller.capacity = 100
 	c := customerOwnedBy(0)
 	fmt.Println("# the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left")
@@ -206,7 +206,7 @@
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
 	fmt.Println("# after the restart, the owner's share and its pool are empty in the new epoch")
 	s.addTxn(1, c, 0, 1)
-	s.advance(10200)
+	s.advanceTo(10200)
 	// Output:
 	// # the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left
 	// 10000 ms: submit txn 1 to backend 1, after 446 ms
@@ -233,16 +233,16 @@
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	fmt.Println("# the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit")
 	s.addTxn(1, customerOwnedBy(0), 0, 0)
-	s.advance(5100)
-	s.advance(5120)
+	s.advanceTo(5100)
+	s.advanceTo(5120)
 	fmt.Println("# a message of the former epoch of a peer is dropped once the new epoch is known")
 	c := customerOwnedBy(0)
 	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
-	s.advance(5200)
+	s.advanceTo(5200)
 	s.receiveMessage(1, &quota.Message{Epoch: 8, Seq: 1, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
-	s.advance(5300)
+	s.advanceTo(5300)
 	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
-	s.advance(5400)
+	s.advanceTo(5400)
 	// Output:
 	// # the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit
 	//  5100 ms: submit txn 1 to backend 1, after 356 ms
@@ -254,18 +254,18 @@
 // Guards against consumed units that are lost or counted twice when datagrams arrive out of order or repeatedly.
 func Example_deltasAreAppliedOnce() {
 	s := newScenario(defaultTestSettings(0), 0)
-	s.advance(10000)
+	s.advanceTo(10000)
 	c := customerOwnedBy(0)
 	first := &quota.Message{Epoch: 7, Seq: 1, Deltas: []quota.Delta{{Customer: c, Units: 3, SetWidth: 3}}}
 	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
 	fmt.Println("# deltas arrive out of order and repeatedly: each delta is applied once")
 	s.receiveMessage(1, second)
 	s.controller.sweptAt = 20 * time.Second // no sweep, which would refill the bucket
-	s.advance(10100)
+	s.advanceTo(10100)
 	s.receiveMessage(1, first)
-	s.advance(10200)
+	s.advanceTo(10200)
 	s.receiveMessage(1, second)
-	s.advance(10300)
+	s.advanceTo(10300)
 	fmt.Println("# a datagram that cannot be decoded is dropped and counted")
 	s.controller.DatagramReceived(1, []byte{1, 2, 3})
 	fmt.Println("dropped datagrams:", s.controller.quota.BadDatagramCount())
@@ -288,9 +288,9 @@
 	for id := control.TxnID(1); id < 9; id++ {
 		s.addTxn(id, c, 0, 0)
 	}
-	s.advance(10050)
+	s.advanceTo(10050)
 	fmt.Println("# a datagram is lost: its delta is sent again with the same sequence number")
-	s.advance(10200)
+	s.advanceTo(10200)
 	fmt.Println("# the snapshot acknowledges the first two deltas and leaves four units, of which two were used since")
 	newSnapshot := func(version uint64, left float64) *quota.Message {
 		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
@@ -302,9 +302,9 @@
 	s.receiveMessage(1, newSnapshot(4, 20))
 	s.addTxn(12, c, 0, 0)
 	s.addTxn(13, c, 0, 0)
-	s.advance(10500)
+	s.advanceTo(10500)
 	fmt.Println("# the snapshot has expired: only the burst share is left, and the owner is asked again")
-	s.advance(11900)
+	s.advanceTo(11900)
 	s.addTxn(14, c, 0, 0)
 	// Output:
 	// # new customer: txns use the burst share while the owner is asked
@@ -405,9 +405,9 @@
 	addTxn(1, false)
 	addTxn(2, false)
 	addTxn(3, true)
-	s.advance(10100)
+	s.advanceTo(10100)
 	s.endSubmission(1, control.Succeeded)
-	s.advance(10500)
+	s.advanceTo(10500)
 	// Output:
 	// # no capacity is left: the retry is rejected at once with a retry delay
 	// 10000 ms: submit txn 1 to backend 3, after 446 ms
@@ -439,7 +439,7 @@
 func Example_unitsStayReservedWhileWaiting() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
-	s.advance(10000)
+	s.advanceTo(10000)
 	c := customerOwnedBy(1)
 	s.controller.plans[0].Burst = 2 // so small that a snapshot may be used only for the response time of the owner
 	s.controller.capacity = 0.3
@@ -452,9 +452,9 @@
 		return state.Reserved
 	}
 	fmt.Println("reserved units:", reservedUnits(), "- other txns may consume that much less of the snapshot")
-	s.advance(10170)
+	s.advanceTo(10170)
 	s.endSubmission(1, control.Succeeded)
-	s.advance(10180)
+	s.advanceTo(10180)
 	fmt.Println("reserved units:", reservedUnits())
 	// Output:
 	// 10000 ms: submit txn 1 to backend 1, after 446 ms
@@ -526,7 +526,7 @@
 	for id, p := range []control.ProductID{0, 0, 2} {
 		s.addTxn(control.TxnID(id), c, p, 0)
 	}
-	s.advance(10100)
+	s.advanceTo(10100)
 	s.endSubmission(0, control.Succeeded)
 	// Output:
 	// # no capacity: the waiting txn is submitted when a submission ends
@@ -541,12 +541,12 @@
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	s.advance(10000)
+	s.advanceTo(10000)
 	b := s.controller.backends[1]
 	b.unanswered, b.unansweredSince, b.sentAt = 2, 10*time.Second, 10*time.Second
 	s.controller.examinedAt = time.Minute
 	for at := 10400; at < 11200; at += 400 {
-		s.advance(at)
+		s.advanceTo(at)
 		for _, p := range []control.ProductID{2, 0} {
 			t := &txn{Txn: control.Txn{Product: p}}
 			fmt.Println("at", at, "ms: a txn of product", p, "must avoid the backend:", s.controller.mustAvoidUnresponsive(b, t))
@@ -614,16 +614,16 @@
 		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
 	fmt.Println("# no backend has responded for a while: all are ejected and probed")
-	s.advance(11700)
-	s.advance(12300)
+	s.advanceTo(11700)
+	s.advanceTo(12300)
 	for _, b := range s.controller.backendsByID {
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
-	s.advance(12900)
+	s.advanceTo(12900)
 	for _, b := range s.controller.backendsByID {
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
-	s.advance(13400)
+	s.advanceTo(13400)
 	fmt.Println("readmitted:", !s.controller.backendsByID[0].ejected)
 	// Output:
 	// # no backend has responded for a while: all are ejected and probed
@@ -663,32 +663,32 @@
 func Example_ownerIsAskedIfBurstShareIsTooSmall() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
-	s.advance(10000)
+	s.advanceTo(10000)
 	s.controller.capacity = 3
 	c := customerOwnedBy(1)
 	s.controller.plans[0].Burst = 2 // less than one unit for each gateway of the set
 	fmt.Println("# the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units")
 	s.addTxn(1, c, 0, 0)
-	s.advance(10030)
+	s.advanceTo(10030)
 	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
 	fmt.Println("# the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
 	s.hideDatagrams = true
-	s.advance(11000)
+	s.advanceTo(11000)
 	s.hideDatagrams = false
 	s.addTxn(2, c, 0, 0)
 	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
-	s.advance(11150)
+	s.advanceTo(11150)
 	fmt.Println("# the owner does not answer in time: the burst share is used")
 	s.hideDatagrams = true
-	s.advance(13000)
+	s.advanceTo(13000)
 	s.hideDatagrams = false
 	s.addTxn(3, c, 0, 0)
-	s.advance(13140)
+	s.advanceTo(13140)
 	fmt.Println("# an owner that has just promised its units to one gateway promises the same units to no other gateway")
 	c = customerOwnedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
-	s.advance(14000)
+	s.advanceTo(14000)
 	s.hideDatagrams = false
 	s.controller.sweptAt = time.Minute
 	for g := control.GatewayID(1); g < 3; g++ {
@@ -793,13 +793,13 @@
 	s.addTxn(2, other, 0, 0)
 	s.endSubmission(2, control.Succeeded)
 	for i := 1; i <= 3; i++ { // a peer still consumes units of the bucket, while this front door gets no txns of the customer
-		s.advance(10000 + 4000*i)
+		s.advanceTo(10000 + 4000*i)
 		s.receiveMessage(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.AccountState(mine)
 	fmt.Printf("units in the bucket: %.0f, number of customers: %d\n", state.Level, s.controller.quota.CustomerCount())
-	s.advance(40000)
+	s.advanceTo(40000)
 	fmt.Println("number of customers:", s.controller.quota.CustomerCount())
 	// Output:
 	// number of backends in the list and in the two maps: 3 3 3
@@ -822,7 +822,7 @@
 	applyReport(1e5)
 	applyReport(20)
 	for t := 11000; t <= 14000; t += 1000 {
-		s.advance(t)
+		s.advanceTo(t)
 		fmt.Printf("at %d ms: load of the backend %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
@@ -842,7 +842,7 @@
 		s.changeEndpoints(false, control.Endpoint{ID: id, State: control.Ready})
 	}
 	s.hideDatagrams = true
-	s.advance(10000)
+	s.advanceTo(10000)
 	s.controller.capacity = 50
 	c := customerOwnedBy(0)
 	backendOfNewTxn := func(id control.TxnID) *backend {
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -39,11 +39,11 @@
 // shouldEject reports whether to eject a backend while the given number of backends is ejected. maxEjectedShare does not bound the
 // ejection of unresponsive backends, because they get no submissions anyway. Ejection lets them recover whichever txns arrive,
 // because an ejected backend is readmitted by probes or, without probes, after its ejection time.
-func (c *Controller) shouldEject(b *backend, ejected int) bool {
+func (c *Controller) shouldEject(b *backend, ejectedCount int) bool {
 	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
 		return true
 	}
-	if float64(ejected+1) > maxEjectedShare*float64(len(c.readyBackends)) {
+	if float64(ejectedCount+1) > maxEjectedShare*float64(len(c.readyBackends)) {
 		return false
 	}
 	failing := b.lossSamples >= 2 && b.lossShare > failureThreshold && b.lossShare > failureOutlierFactor*c.fleetLossShare
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -37,8 +37,8 @@
 
 // recordedSettings returns the settings of one front door. Of the four plans, plan 1 has a hard limit, plan 2 limits the submissions
 // in flight, and responses beyond the quota have a value for plan 3.
-func recordedSettings(me int) control.Settings {
-	s := defaultTestSettings(me)
+func recordedSettings(frontDoorIndex int) control.Settings {
+	s := defaultTestSettings(frontDoorIndex)
 	s["quota.mail_per_s"], s["products.1.late_value"], s["plans.count"] = "400", "0.3", "4"
 	for i, plan := range []string{"40 80 0 0 0", "30 60 0 60 60", "30 60 5 0 0", "30 60 0 0 0"} {
 		var rate, burst, maxInFlight, hardRate, hardBurst string
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -19,8 +19,8 @@
 // defaultTestSettings returns the settings of front door me. Product 0 is inquiry-like, product 1 is referenced with scope pod,
 // product 2 is once-only, and product 3 is referenced with scope all. Plan 0 has ten units per second and a burst of 20. Plan 1 has
 // the same and a hard limit of 20 units per second with a burst of 20.
-func defaultTestSettings(me int) control.Settings {
-	s := control.Settings{"me": fmt.Sprint(me), "gateways": "3", "zone": "0", "limits.probes": "true",
+func defaultTestSettings(frontDoorIndex int) control.Settings {
+	s := control.Settings{"me": fmt.Sprint(frontDoorIndex), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
 		"limits.longest_advice": "2000000", "limits.max_submissions": "3", "report.how": "answers",
 		"report.fields": "inflight", "rules.warm_by": "10000000", "rules.fall_window": "1000000",
@@ -45,8 +45,8 @@
 }
 
 // newScenario returns a scenario whose clock starts at the given time.
-func newScenario(s control.Settings, at int) *scenario {
-	d, err := New(1, s, time.Millisecond*time.Duration(at))
+func newScenario(settings control.Settings, startMillis int) *scenario {
+	d, err := New(1, settings, time.Millisecond*time.Duration(startMillis))
 	if err != nil {
 		fmt.Println(err)
 	}
@@ -58,14 +58,14 @@
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready}, control.Endpoint{ID: 3, Pod: 1, State: control.Ready})
 	s.hideDatagrams, s.controller.capacity = true, 3
-	s.advance(10000)
+	s.advanceTo(10000)
 	return s
 }
 
-// advance moves the clock to a time and prints the decisions until then. It moves the clock in steps, as a host does, because a long time
+// advanceTo moves the clock to a time and prints the decisions until then. It moves the clock in steps, as a host does, because a long time
 // without a call counts as a stall of the process.
-func (s *scenario) advance(t int) {
-	for to := time.Millisecond * time.Duration(t); s.controller.now < to; {
+func (s *scenario) advanceTo(toMillis int) {
+	for to := time.Millisecond * time.Duration(toMillis); s.controller.now < to; {
 		s.controller.Now(min(to, s.controller.now+50*time.Millisecond))
 		s.printDecisions()
 	}
@@ -77,16 +77,16 @@
 }
 
 // addTxn adds a txn of customer c, product p and plan pl with one unit and an expiry in two seconds, and prints the decisions.
-func (s *scenario) addTxn(id control.TxnID, c control.CustomerID, p control.ProductID, pl control.PlanID) {
-	s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Product: p, Plan: pl, Units: 1, SetWidth: 3,
+func (s *scenario) addTxn(id control.TxnID, customer control.CustomerID, product control.ProductID, plan control.PlanID) {
+	s.controller.TxnArrived(control.Txn{ID: id, Customer: customer, Product: product, Plan: plan, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
 	s.printDecisions()
 }
 
 // endSubmission ends the submission of a txn that is in flight, and prints the decisions.
-func (s *scenario) endSubmission(id control.TxnID, e control.Ending) {
+func (s *scenario) endSubmission(id control.TxnID, ending control.Ending) {
 	t := s.controller.txns[id]
-	s.controller.SubmissionEnded(id, t.submissions-1, t.currentBackend.ID, e, e == control.Succeeded, s.controller.now-t.sentAt, nil)
+	s.controller.SubmissionEnded(id, t.submissions-1, t.currentBackend.ID, ending, ending == control.Succeeded, s.controller.now-t.sentAt, nil)
 	s.printDecisions()
 }
 
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -102,8 +102,8 @@
 // and a first gateway that is too high is reduced modulo the number of gateways. The width is limited to the range from 1 to the
 // number of gateways.
 func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
-	width = min(max(width, 1), l.gateways)
-	first = control.GatewayID(max(int(first), 0) % l.gateways)
+	width = min(max(width, 1), l.gatewayCount)
+	first = control.GatewayID(max(int(first), 0) % l.gatewayCount)
 	if a.setAssigned && a.setFirst == first && a.setWidth == width {
 		return
 	}
@@ -112,8 +112,8 @@
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
 	a.setAssigned, a.setFirst, a.setWidth, a.reporterCount = true, first, width, width
-	a.owner = OwnerOf(a.id, first, a.setWidth, l.gateways)
-	a.inSet = (int(l.self-first)%l.gateways+l.gateways)%l.gateways < a.setWidth
+	a.owner = OwnerOf(a.id, first, a.setWidth, l.gatewayCount)
+	a.inSet = (int(l.self-first)%l.gatewayCount+l.gatewayCount)%l.gatewayCount < a.setWidth
 	if a.owner != l.self {
 		a.level, a.hasSnapshot = 0, false
 	}
@@ -137,13 +137,13 @@
 func (l *Limiter) initialLevel(a *Account) float64 {
 	level := a.limit.Rate * max(0, l.now-l.ownersAssignedAt-l.config.OwnershipDelay).Seconds()
 	if l.freshCluster && l.olderPeerDatagrams == 0 {
-		level += l.initialFill(a)
+		level += l.initialFillUnits(a)
 	}
 	return min(a.limit.Burst, level)
 }
 
-// initialFill returns the number of units in a bucket at the start of a new cluster.
-func (l *Limiter) initialFill(a *Account) float64 {
+// initialFillUnits returns the number of units in a bucket at the start of a new cluster.
+func (l *Limiter) initialFillUnits(a *Account) float64 {
 	fill := l.config.InitialFill * a.limit.Burst
 	if l.config.Strict {
 		fill = min(fill, a.limit.Rate*maxInitialFillTime.Seconds())
@@ -184,13 +184,13 @@
 // recentReporterTotals returns the number n of recent reporters and two totals over all of them but except. inFlight is the total of
 // their submissions in flight. promised is the total of the units that their last snapshots promised, or 0 in strict mode. If except
 // is nil, no reporter is left out of the totals.
-func (l *Limiter) recentReporterTotals(a *Account, except *peer) (n, inFlight int, promised float64) {
+func (l *Limiter) recentReporterTotals(a *Account, excludedPeer *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
 			continue
 		}
 		n++
-		if except != nil && r.from == except.id {
+		if excludedPeer != nil && r.from == excludedPeer.id {
 			continue
 		}
 		inFlight += r.inFlight
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -14,7 +14,7 @@
 // while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated (isolationStart),
 // the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
 func (l *Limiter) refillAllowance(a *Account) float64 {
-	n := float64(l.gateways)
+	n := float64(l.gatewayCount)
 	part := (l.config.Excess*(a.limit.Rate*l.config.Window.Seconds()+a.limit.Burst) + l.config.Margin) / n
 	maxSaved := min(part, max(1, allowanceBurstShare*part))
 	fill := (part - maxSaved) / max(l.config.Window, time.Second).Seconds() * (l.now - a.allowanceAt).Seconds()
@@ -70,14 +70,14 @@
 // Strict mode does not limit the submissions in flight and uses the field for a number of units. After an isolation, the value counts
 // the units that may have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself (own) are
 // left out. In all other cases the value is 0.
-func (l *Limiter) reportedInFlight(a *Account, own float64) int {
+func (l *Limiter) reportedInFlight(a *Account, deltaUnits float64) int {
 	switch {
 	case !l.config.Strict:
 		return a.inFlight
 	case a.unacked <= 0:
 		a.consumedWhileIsolated = false
 	case a.consumedWhileIsolated:
-		return int(math.Ceil(max(0, a.unacked+a.unreported-own)))
+		return int(math.Ceil(max(0, a.unacked+a.unreported-deltaUnits)))
 	}
 	return 0
 }
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -25,8 +25,8 @@
 	step                        time.Duration
 }
 
-func newPartitionScenario(t *testing.T, n, isolated int, rate, burst float64) *partitionScenario {
-	s := &partitionScenario{cluster: newCluster(t, n, rate, burst), isolatedCount: isolated, rate: rate, burst: burst, blockInbound: true, blockOutbound: true, step: 10 * time.Millisecond,
+func newPartitionScenario(t *testing.T, gatewayCount, isolatedCount int, rate, burst float64) *partitionScenario {
+	s := &partitionScenario{cluster: newCluster(t, gatewayCount, rate, burst), isolatedCount: isolatedCount, rate: rate, burst: burst, blockInbound: true, blockOutbound: true, step: 10 * time.Millisecond,
 		detectionTime: 2900 * time.Millisecond, recoveryTime: 900 * time.Millisecond}
 	return s
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// advance runs the scenario for the given time. It calls the functions in due when the clock reaches their times.
-func (p *partitionScenario) advance(d time.Duration, due map[time.Duration][]func()) {
+// advanceBy runs the scenario for the given time. It calls the functions in due when the clock reaches their times.
+func (p *partitionScenario) advanceBy(d time.Duration, due map[time.Duration][]func()) {
 	for end := p.now + d; p.now < end; {
 		p.now += p.step
 		for at, all := range due {
@@ -101,9 +101,9 @@
 	"repeated":  {0, 4500 * time.Millisecond, 5 * time.Second, 9500 * time.Millisecond, 10 * time.Second, 14 * time.Second},
 }
 
-// runSchedule starts and ends the partition by a schedule. The host of each gateway detects a change after a delay. If spread is
+// runSchedule starts and ends the partition by a schedule. The host of each gateway detects a change after a delay. If variedDelays is
 // true, the delays of the hosts differ.
-func (p *partitionScenario) runSchedule(schedule []time.Duration, spread bool) {
+func (p *partitionScenario) runSchedule(schedule []time.Duration, variedDelays bool) {
 	due := map[time.Duration][]func(){}
 	addEvent := func(at time.Duration, do func()) { due[at] = append(due[at], do) }
 	const pressureStart = 40 * time.Second
@@ -115,7 +115,7 @@
 			if !partitioned {
 				wait = p.recoveryTime
 			}
-			if spread {
+			if variedDelays {
 				wait -= time.Duration(p.rng.Int63n(int64(900 * time.Millisecond)))
 			}
 			addEvent(at+wait+time.Duration(g), func() { // the change is reported only if it still holds
@@ -127,11 +127,11 @@
 	}
 	quietUntil := pressureStart + min(schedule[0], 0) - 100*time.Millisecond
 	p.step = 50 * time.Millisecond
-	p.advance(quietUntil, due) // buckets and allowances are full by then
+	p.advanceBy(quietUntil, due) // buckets and allowances are full by then
 	p.step = 10 * time.Millisecond
-	p.advance(pressureStart-quietUntil, due)
+	p.advanceBy(pressureStart-quietUntil, due)
 	p.underPressure = true
-	p.advance(schedule[len(schedule)-1]+4*time.Second, due)
+	p.advanceBy(schedule[len(schedule)-1]+4*time.Second, due)
 }
 
 // TestBoundHoldsInAnyPartition guards against consumption above the bound of strict mode during a partition. It covers every number
@@ -168,10 +168,10 @@
 			for restarting := range 3 {
 				s := newPartitionScenario(t, n, 1, limit[0], limit[1])
 				s.step = 50 * time.Millisecond
-				s.advance(40*time.Second, nil)
+				s.advanceBy(40*time.Second, nil)
 				s.step, s.underPressure = 10*time.Millisecond, true
 				for epoch := range int64(10) {
-					s.advance(300*time.Millisecond, nil)
+					s.advanceBy(300*time.Millisecond, nil)
 					var restarted []control.GatewayID
 					for i := range s.limiters {
 						g := control.GatewayID(i)
@@ -179,7 +179,7 @@
 							restarted, s.limiters[i] = append(restarted, g), nil
 						}
 					}
-					s.advance(400*time.Millisecond, nil)
+					s.advanceBy(400*time.Millisecond, nil)
 					for _, g := range restarted {
 						s.limiters[g] = NewLimiter(100*epoch+int64(g)+50, g, n, s.now, gatewayConfig)
 						s.limiters[g].SetLimit(watchedCustomer, limit[0], limit[1])
@@ -198,7 +198,7 @@
 		for seed := range int64(8) {
 			s := newPartitionScenario(t, 2, 1, limit[0], limit[1])
 			s.rng, s.step = rand.New(rand.NewSource(seed)), 50*time.Millisecond
-			s.advance(40*time.Second, nil)
+			s.advanceBy(40*time.Second, nil)
 			s.step, s.underPressure = 10*time.Millisecond, true
 			for n := 3; n <= 8; n++ {
 				limiter := NewLimiter(int64(n)+100, 0, 1, s.now, gatewayConfig)
@@ -206,11 +206,11 @@
 				limiter.Grow(control.GatewayID(n-1), n)
 				s.limiters = append(s.limiters, limiter)
 				for _, i := range s.rng.Perm(n - 1) {
-					s.advance(time.Duration(s.rng.Int63n(int64(time.Second)/int64(n))), nil)
+					s.advanceBy(time.Duration(s.rng.Int63n(int64(time.Second)/int64(n))), nil)
 					s.limiters[i].Grow(control.GatewayID(i), n)
 				}
 			}
-			s.advance(5*time.Second, nil)
+			s.advanceBy(5*time.Second, nil)
 			s.requireWithinBound(fmt.Sprintf("rate and burst=%v seed=%d: most units consumed in a 5 s window", limit, seed))
 		}
 	}
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -41,7 +41,7 @@
 		return Allowed, 0
 	}
 	a.lastUsedAt = l.now
-	outcome, at, _ := l.check(a, r)
+	outcome, at, _ := l.checkWithReason(a, r)
 	// A request that is not pending no longer needs a grant. Another waiting request sets unitsWanted again at its next check.
 	if outcome != Pending {
 		a.unitsWanted = 0
@@ -49,8 +49,8 @@
 	return outcome, at
 }
 
-// check does the work of Check for an account. For a request that is not allowed, check also returns the reason.
-func (l *Limiter) check(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
+// checkWithReason does the work of Check for an account. For a request that is not allowed, checkWithReason also returns the reason.
+func (l *Limiter) checkWithReason(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
 	latest := r.Arrived + time.Duration(unitTimeoutShare*float64(r.SLA))
 	if allowed, at := l.checkHardLimit(a, r); !allowed {
 		if at < latest {
@@ -73,27 +73,27 @@
 }
 
 // checkWithoutFreeSlot decides on a request of a customer that has reached the maximum number of submissions in flight.
-func (l *Limiter) checkWithoutFreeSlot(a *Account, latest time.Duration) (Outcome, time.Duration, control.Reason) {
+func (l *Limiter) checkWithoutFreeSlot(a *Account, waitUntil time.Duration) (Outcome, time.Duration, control.Reason) {
 	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
 		// The submissions at other gateways may have ended long ago. The owner sends their new number only in answer to a report.
 		l.requestSnapshot(a)
 	}
-	if l.now < latest {
-		return Pending, latest, control.ReasonNoSlot
+	if l.now < waitUntil {
+		return Pending, waitUntil, control.ReasonNoSlot
 	}
 	return Exceeded, 0, control.ReasonNoSlot
 }
 
 // checkAgainstBucket decides on a request of a customer whose bucket this gateway owns.
-func (l *Limiter) checkAgainstBucket(a *Account, r Request, latest time.Duration) (Outcome, time.Duration) {
-	l.refill(a)
+func (l *Limiter) checkAgainstBucket(a *Account, r Request, waitUntil time.Duration) (Outcome, time.Duration) {
+	l.refillBucket(a)
 	left := a.level - l.outstandingGrants(a)
 	if left-a.reserved >= l.requiredLevel(a, r) {
 		return Allowed, 0
 	}
 	after := time.Duration((l.requiredLevel(a, r) - left) / a.limit.Rate * float64(time.Second))
-	if l.now+after < latest && !r.LateRetry {
-		return Pending, latest
+	if l.now+after < waitUntil && !r.LateRetry {
+		return Pending, waitUntil
 	}
 	return Exceeded, after
 }
@@ -173,7 +173,7 @@
 		if v.allowanceCovers {
 			return Allowed, 0, true
 		}
-		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gateways) * float64(time.Second)), true
+		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gatewayCount) * float64(time.Second)), true
 	}
 	// While the owner is unresponsive, the share grows at the rate divided by the number of reachable reporters. So, after the loss
 	// of a zone, the remaining gateways together serve the whole quota.
@@ -203,12 +203,12 @@
 // burstShare returns the number of units that may be consumed against a snapshot before the owner acknowledges them. This number is
 // the lesser of the burst and lowLevelFactor times the level, divided by the number of recent reporters. The result is at least the
 // given units of one request.
-func (a *Account) burstShare(units float64) float64 {
+func (a *Account) burstShare(requestUnits float64) float64 {
 	left := a.limit.Burst
 	if a.hasSnapshot {
 		left = min(left, lowLevelFactor*max(a.level, 0))
 	}
-	return max(left/float64(max(a.reporterCount, 1)), units)
+	return max(left/float64(max(a.reporterCount, 1)), requestUnits)
 }
 
 // answerTimeout returns the time within which a healthy owner answers a report.
@@ -233,7 +233,7 @@
 func (l *Limiter) reachableReporterCount(a *Account) int {
 	n := a.reporterCount
 	for i := range a.setWidth {
-		p := l.peers[(int(a.setFirst)+i)%l.gateways]
+		p := l.peers[(int(a.setFirst)+i)%l.gatewayCount]
 		if len(p.unacked) > 0 && l.now-max(p.unackedSince, p.receivedAt, l.pausedUntil) > peerLostAfter {
 			n--
 		}
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if a.owner == l.self {
-		l.refill(a)
+		l.refillBucket(a)
 		l.drawFromBucket(a, units)
 		return
 	}
--- a/control/quota/frontdoor.go
+++ b/control/quota/frontdoor.go
@@ -23,7 +23,7 @@
 // CheckAccount checks a request like Check, but takes the account and also returns the reason if the request is not allowed. Unlike
 // Check, it does not cancel a request for units to the owner if the outcome is not Pending.
 func (l *Limiter) CheckAccount(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
-	return l.check(a, r)
+	return l.checkWithReason(a, r)
 }
 
 // ReserveAccount does the same as Reserve, but takes the account.
--- a/control/quota/grant.go
+++ b/control/quota/grant.go
@@ -5,9 +5,9 @@
 // grantUnits sets units aside for a reporter that has a pending request, and returns their number. No other gateway gets these
 // units until the reporter has reported how many of them it used, or until grantMaxAge is over. The result is 0 if the reporter has
 // no pending request or if fewer units are left than the request needs.
-func (l *Limiter) grantUnits(r *reporterState, left float64) (units float64) {
-	if r.unitsWanted > 0 && left >= r.unitsWanted {
-		units = max(r.unitsWanted, math.Floor(left/grantDivisor/float64(l.gateways)))
+func (l *Limiter) grantUnits(r *reporterState, unitsLeft float64) (units float64) {
+	if r.unitsWanted > 0 && unitsLeft >= r.unitsWanted {
+		units = max(r.unitsWanted, math.Floor(unitsLeft/grantDivisor/float64(l.gatewayCount)))
 		r.granted, r.grantedAt = r.granted+units, l.now
 	}
 	return units
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -70,9 +70,9 @@
 	ownersAssignedAt time.Duration // time of the last assignment of owners, from which Config.OwnershipDelay counts
 	sweptAt          time.Duration
 
-	self     control.GatewayID
-	gateways int
-	epoch    uint32
+	self         control.GatewayID
+	gatewayCount int
+	epoch        uint32
 
 	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
 	reachableCountBefore int           // effectiveReachableCount before the last rise of reachableCount
@@ -119,7 +119,7 @@
 
 func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	l := &Limiter{
-		config: config, epoch: epoch, self: self, gateways: gateways, reachableCount: gateways,
+		config: config, epoch: epoch, self: self, gatewayCount: gateways, reachableCount: gateways,
 		now: now, startedAt: now, ownersAssignedAt: now,
 		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
 		accounts:  map[control.CustomerID]*Account{},
@@ -153,10 +153,10 @@
 		a = l.getOrCreateAccount(c, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
 		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersAssignedAt+l.config.OwnershipDelay)
-		l.assignOwner(a, 0, l.gateways)
+		l.assignOwner(a, 0, l.gatewayCount)
 	default:
 		if a.owner == l.self {
-			l.refill(a)
+			l.refillBucket(a)
 		}
 		a.limit.Rate, a.limit.Burst = rate, burst
 		a.level = min(a.level, burst)
@@ -182,7 +182,7 @@
 func (l *Limiter) SetReachable(reachable []bool) {
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
-			l.refill(a)
+			l.refillBucket(a)
 		}
 	}
 	count := 0
@@ -219,9 +219,9 @@
 // a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner continues to grant units. So
 // gateways must be added only while all gateways can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.Assert(gateways >= l.gateways && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
+	invariant.Assert(gateways >= l.gatewayCount && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
 	previousSelf := l.self
-	if self == previousSelf && gateways == l.gateways {
+	if self == previousSelf && gateways == l.gatewayCount {
 		return
 	}
 	for i := len(l.peers); i < gateways; i++ {
@@ -230,11 +230,11 @@
 	if self != previousSelf {
 		l.epoch += 2 // a new epoch, so that peers treat this gateway as one that has just started
 	}
-	allReachable, delay := l.reachableCount == l.gateways, l.config.OwnershipDelay
-	if l.gateways == 1 && int(self) < gateways-1 {
+	allReachable, delay := l.reachableCount == l.gatewayCount, l.config.OwnershipDelay
+	if l.gatewayCount == 1 && int(self) < gateways-1 {
 		delay = 0 // this gateway has restarted under an ID that its peers know, and the peers report to no other owner
 	}
-	l.self, l.gateways, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
+	l.self, l.gatewayCount, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
 	if l.reachableCount = min(l.reachableCount, gateways); allReachable {
 		l.reachableCount = gateways
 	}
@@ -245,8 +245,8 @@
 
 // reassignOwner computes the owner of an account after Grow. previousSelf is the ID that this gateway had before.
 func (l *Limiter) reassignOwner(a *Account, previousSelf control.GatewayID, delay time.Duration) {
-	owner := OwnerOf(a.id, 0, l.gateways, l.gateways)
-	a.setWidth, a.reporterCount = l.gateways, l.gateways
+	owner := OwnerOf(a.id, 0, l.gatewayCount, l.gatewayCount)
+	a.setWidth, a.reporterCount = l.gatewayCount, l.gatewayCount
 	if owner == a.owner && l.self == previousSelf {
 		return
 	}
@@ -282,22 +282,22 @@
 	return units
 }
 
-// recordPeerAge uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
+// detectFreshCluster uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
 // cluster, no units can have been consumed before, so the buckets get their initial fill. One older peer proves that this gateway has
 // restarted, so the buckets of this gateway start empty.
-func (l *Limiter) recordPeerAge(p *peer, age time.Duration) {
+func (l *Limiter) detectFreshCluster(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+maxStartSkew {
 		l.olderPeerDatagrams++
 	} else if p.receivedAt == 0 {
 		l.youngPeerCount++
 	}
 	if l.config.InitialFill <= 0 || l.olderPeerDatagrams > 0 || l.freshCluster || l.now-l.startedAt > maxStartSkew ||
-		l.youngPeerCount < min(minYoungPeers, l.gateways-1) {
+		l.youngPeerCount < min(minYoungPeers, l.gatewayCount-1) {
 		return
 	}
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
-			a.level += l.initialFill(a) // the next refill limits the level to the burst
+			a.level += l.initialFillUnits(a) // the next refill limits the level to the burst
 		}
 	}
 	l.freshCluster = true
--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -106,7 +106,7 @@
 	return uint64(math.Min(units*16, maxCount))
 }
 
-func (d Delta) append(b []byte) []byte {
+func (d Delta) appendTo(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(d.Customer))
 	b = binary.AppendUvarint(b, uint64(d.Plan))
 	b = binary.AppendUvarint(b, toSixteenths(d.Units))
@@ -117,7 +117,7 @@
 	return binary.AppendUvarint(b, uint64(d.SetWidth))
 }
 
-func (s Snapshot) append(b []byte) []byte {
+func (s Snapshot) appendTo(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(s.Customer))
 	b = binary.AppendUvarint(b, toSixteenths(s.Level))
 	b = binary.AppendUvarint(b, uint64(s.Reporters))
@@ -125,7 +125,7 @@
 	return binary.AppendUvarint(b, toSixteenths(s.Grant))
 }
 
-func (o Observation) append(b []byte) []byte {
+func (o Observation) appendTo(b []byte) []byte {
 	ratio := byte(int(o.Ratio * 8))
 	if o.Ratio < 0 {
 		ratio = byte(int(256 + o.Ratio))
@@ -146,7 +146,7 @@
 	b = binary.AppendUvarint(b, m.Seq)
 	b = append(b, byte(len(m.Deltas)))
 	for _, d := range m.Deltas {
-		b = d.append(b)
+		b = d.appendTo(b)
 	}
 	b = binary.AppendUvarint(b, m.Version)
 	b = binary.LittleEndian.AppendUint32(b, m.AckEpoch)
@@ -154,11 +154,11 @@
 	b = binary.LittleEndian.AppendUint32(b, uint32(m.AckMask))
 	b = append(b, byte(len(m.Snapshots)))
 	for _, s := range m.Snapshots {
-		b = s.append(b)
+		b = s.appendTo(b)
 	}
 	b = append(b, byte(len(m.Observations)))
 	for _, o := range m.Observations {
-		b = o.append(b)
+		b = o.appendTo(b)
 	}
 	return b
 }
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -18,11 +18,11 @@
 	plan := &Limit{Rate: 10, Burst: 20, HardRate: 20, HardBurst: 20}
 	s := &planScenario{Limiter: NewPlanLimiter(1, 0, 3, 0, Config{MinInterval: 10 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 100,
 		InitialFill: 1, MaxUnits: 1}, PlanLimiterOptions{PeersEnabled: true, PlanLimit: func(control.PlanID) *Limit { return plan }})}
-	s.advance(10 * time.Second)
+	s.advanceTo(10 * time.Second)
 	return s
 }
 
-func (p *planScenario) advance(to time.Duration) {
+func (p *planScenario) advanceTo(to time.Duration) {
 	for p.now < to {
 		p.SetNow(min(to, p.now+50*time.Millisecond))
 		p.Sweep()
@@ -95,7 +95,7 @@
 	own.hardShare, own.hardShareAt = 2, s.now
 	for seq, want := range []float64{3, 1.5} {
 		s.receiveMessage(2, &Message{Epoch: 9, Seq: uint64(seq) + 1, AckEpoch: s.epoch, Deltas: []Delta{{Customer: own.id, Transfer: -want, SetWidth: 3}}})
-		s.advance(s.now + 50*time.Millisecond)
+		s.advanceTo(s.now + 50*time.Millisecond)
 		grant := 0.0
 		for _, l := range s.lastDatagram().Snapshots {
 			grant = l.Grant
@@ -163,9 +163,9 @@
 	own := s.accounts[customerOwnedBy(0)]
 	own.level = -200 // full again after 22 s
 	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
-	s.advance(30 * time.Second)
+	s.advanceTo(30 * time.Second)
 	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
-	s.advance(40 * time.Second)
+	s.advanceTo(40 * time.Second)
 	fmt.Println("number of accounts in the list and in the map:", len(s.orderedAccounts), len(s.accounts))
 	// Output:
 	// number of accounts in the list and in the map: 1 1
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -38,14 +38,14 @@
 var gatewayConfig = Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 200, Strict: true,
 	OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20}
 
-func newCluster(t *testing.T, n int, rate, burst float64) *cluster {
-	return newClusterOf(t, n, rate, burst, gatewayConfig)
+func newCluster(t *testing.T, gatewayCount int, rate, burst float64) *cluster {
+	return newClusterOf(t, gatewayCount, rate, burst, gatewayConfig)
 }
 
-func newClusterOf(t *testing.T, n int, rate, burst float64, config Config) *cluster {
+func newClusterOf(t *testing.T, gatewayCount int, rate, burst float64, config Config) *cluster {
 	c := &cluster{t: t, rng: rand.New(rand.NewSource(3)), partitioned: map[[2]control.GatewayID]bool{}}
-	for i := 0; i < n; i++ {
-		c.limiters = append(c.limiters, NewLimiter(int64(i), control.GatewayID(i), n, 0, config))
+	for i := 0; i < gatewayCount; i++ {
+		c.limiters = append(c.limiters, NewLimiter(int64(i), control.GatewayID(i), gatewayCount, 0, config))
 		c.limiters[i].SetLimit(watchedCustomer, rate, burst)
 	}
 	return c
@@ -79,7 +79,7 @@
 
 // runWithRandomRequests runs the cluster for the given time and returns the number of allowed units. Each gateway, or the single
 // gateway given, receives random requests at a mean rate of unitsPerSecond.
-func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, only ...control.GatewayID) (allowed int) {
+func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, onlyGateway ...control.GatewayID) (allowed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
 		for i, l := range c.limiters {
@@ -87,7 +87,7 @@
 				continue
 			}
 			l.SetNow(c.now)
-			if len(only) > 0 && control.GatewayID(i) != only[0] || c.rng.Float64() > unitsPerSecond*step.Seconds() {
+			if len(onlyGateway) > 0 && control.GatewayID(i) != onlyGateway[0] || c.rng.Float64() > unitsPerSecond*step.Seconds() {
 				continue
 			}
 			if v, _ := l.Check(watchedCustomer, Request{Units: 1, Arrived: c.now, SLA: 400 * time.Millisecond}); v == Allowed {
@@ -231,7 +231,7 @@
 	must.Eq(t, 10, own.accounts[watchedCustomer].level)
 	own.SetLimit(watchedCustomer, 5, 100)
 	c.runWithRandomRequests(time.Second, 0)
-	own.refill(own.accounts[watchedCustomer])
+	own.refillBucket(own.accounts[watchedCustomer])
 	must.Between(t, 14, own.accounts[watchedCustomer].level, 16)
 
 	// Only the reporter knows the limit of this customer. The owner neither applies nor acknowledges the customer's delta until it knows the
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -16,7 +16,7 @@
 	if p.receivedAt <= l.sweptAt {
 		l.sendersSinceSweep++
 	}
-	l.recordPeerAge(p, m.Age)
+	l.detectFreshCluster(p, m.Age)
 	p.receivedAt, p.interval = l.now, m.Interval
 	if m.Epoch != p.epoch && !l.beginPeerEpoch(p, m.Epoch) {
 		return false
@@ -26,7 +26,7 @@
 	}
 	forThisEpoch := m.AckEpoch == l.epoch
 	if forThisEpoch {
-		l.removeAcknowledged(p, m)
+		l.removeAcknowledgedMessages(p, m)
 		l.applySnapshots(p, m)
 	}
 	if l.options.ObservationsReceived != nil {
@@ -76,10 +76,10 @@
 	}
 }
 
-// acceptsDeltas reports whether the deltas of a message may be applied. If limits are set by SetLimit, a delta may arrive before this
+// canApplyDeltas reports whether the deltas of a message may be applied. If limits are set by SetLimit, a delta may arrive before this
 // gateway knows the customer or knows that it owns the customer's bucket. In that case no part of the deltas is applied or
 // acknowledged, and the peer sends them again.
-func (l *Limiter) acceptsDeltas(m *Message) bool {
+func (l *Limiter) canApplyDeltas(m *Message) bool {
 	if l.options.PlanLimit != nil {
 		return true
 	}
@@ -94,7 +94,7 @@
 
 // applyDeltas applies the deltas of a message at most once and schedules a snapshot of each of their accounts as the answer.
 func (l *Limiter) applyDeltas(p *peer, m *Message) {
-	if !l.acceptsDeltas(m) {
+	if !l.canApplyDeltas(m) {
 		l.badDatagrams++
 		return
 	}
@@ -102,16 +102,16 @@
 	p.ackPending = true
 	l.schedulePeer(p)
 	for _, d := range m.Deltas {
-		if a := l.ownedAccountFor(d); a != nil {
+		if a := l.getOrCreateOwnedAccount(d); a != nil {
 			l.applyDelta(p, m, a, d, firstTime)
 			l.scheduleSnapshot(p, a.id)
 		}
 	}
 }
 
-// ownedAccountFor returns the owned account of a delta's customer, and creates it if needed. It returns nil if the customer is not
+// getOrCreateOwnedAccount returns the owned account of a delta's customer, and creates it if needed. It returns nil if the customer is not
 // metered, the plan does not exist, or another gateway owns the account.
-func (l *Limiter) ownedAccountFor(d Delta) *Account {
+func (l *Limiter) getOrCreateOwnedAccount(d Delta) *Account {
 	if l.options.PlanLimit == nil && l.accounts[d.Customer] == nil {
 		return nil // the customer is no longer metered
 	}
@@ -133,7 +133,7 @@
 // applyDelta applies one delta. The units of the delta count only at its first arrival. The number in flight and the wanted units
 // count only if no later delta has arrived.
 func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, firstTime bool) {
-	l.refill(a)
+	l.refillBucket(a)
 	r := a.getOrCreateReporterState(p.id)
 	r.receivedAt = l.now
 	if m.Seq == p.appliedHigh {
@@ -156,9 +156,9 @@
 	}
 }
 
-// removeAcknowledged removes the messages that the peer acknowledges from the unacknowledged messages. It subtracts their units from
+// removeAcknowledgedMessages removes the messages that the peer acknowledges from the unacknowledged messages. It subtracts their units from
 // the levels of the snapshots.
-func (l *Limiter) removeAcknowledged(p *peer, m *Message) {
+func (l *Limiter) removeAcknowledgedMessages(p *peer, m *Message) {
 	kept := p.unacked[:0]
 	for _, u := range p.unacked {
 		if !m.acknowledges(u.seq) {
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// refill adds the refill since the last call to an owned bucket, up to the burst.
-func (l *Limiter) refill(a *Account) {
+// refillBucket adds the refill since the last call to an owned bucket, up to the burst.
+func (l *Limiter) refillBucket(a *Account) {
 	if l.now >= a.levelAt {
 		a.level = min(a.limit.Burst, a.level+l.refillAmount(a, l.now-a.levelAt))
 		a.levelAt = l.now
@@ -21,7 +21,7 @@
 	if !l.config.Strict {
 		return a.limit.Rate * period.Seconds()
 	}
-	part, reachable := a.limit.Rate*period.Seconds()/float64(l.gateways), l.effectiveReachableCount()
+	part, reachable := a.limit.Rate*period.Seconds()/float64(l.gatewayCount), l.effectiveReachableCount()
 	for _, r := range a.reporterStates {
 		silentFor := l.now - max(r.receivedAt, l.pausedUntil)
 		unreachable := l.peers[r.from].unreachableSince > 0
@@ -44,7 +44,7 @@
 // withholdsEarly reports whether parts of the rate are withheld for gateways whose messages have just stopped. At a small rate, such
 // a part is negligible for so short a time, and withholding the part would only delay the customer.
 func (l *Limiter) withholdsEarly(a *Account) bool {
-	return a.limit.Rate >= minWithholdRate*float64(l.gateways)
+	return a.limit.Rate >= minWithholdRate*float64(l.gatewayCount)
 }
 
 // releaseWithheld returns units that were withheld for a reporter to the bucket.
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -78,7 +78,7 @@
 		oldest := p.unacked[0]
 		oldest.sentAt, oldest.resends = l.now, min(oldest.resends+1, maxResendDoublings)
 		p.unacked = append(p.unacked[1:], oldest)
-		m.Seq, m.Deltas = oldest.seq, l.refreshDeltas(oldest.deltas)
+		m.Seq, m.Deltas = oldest.seq, l.refreshInFlight(oldest.deltas)
 	case len(p.reportQueue) > 0:
 		l.packDeltas(p, m)
 	}
@@ -105,7 +105,7 @@
 		}
 		a.unacked += a.unreported
 		a.unreported, a.unitsWanted, a.reportedAt, a.allowanceUnreported = 0, 0, l.now, 0
-		room -= len(d.append(nil))
+		room -= len(d.appendTo(nil))
 	}
 	if len(p.unacked) == 0 {
 		p.unackedSince = l.now
@@ -113,8 +113,8 @@
 	p.unacked = append(p.unacked, &unackedMessage{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowanceUnits: allowance})
 }
 
-// refreshDeltas updates the field InFlight of deltas that are sent again in strict mode. All other fields keep their values.
-func (l *Limiter) refreshDeltas(deltas []Delta) []Delta {
+// refreshInFlight updates the field InFlight of deltas that are sent again in strict mode. All other fields keep their values.
+func (l *Limiter) refreshInFlight(deltas []Delta) []Delta {
 	for i := range deltas {
 		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
 			deltas[i].InFlight = l.reportedInFlight(a, deltas[i].Units)
@@ -146,7 +146,7 @@
 		}
 		s := l.snapshotFor(p, a)
 		m.Snapshots = append(m.Snapshots, s)
-		room -= len(s.append(nil))
+		room -= len(s.appendTo(nil))
 	}
 }
 
@@ -154,7 +154,7 @@
 // reserved or promised to others. Its grant is the number of units that are set aside for the reporter in strict mode. Without strict
 // mode, the grant comes from the pool of the hard limit.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
-	l.refill(a)
+	l.refillBucket(a)
 	others, inFlight, promised := l.recentReporterTotals(a, p)
 	r := a.getOrCreateReporterState(p.id)
 	left := max(0, a.level-promised-a.reserved-l.outstandingGrants(a))
