--- a/control/decision.go
+++ b/control/decision.go
@@ -11,11 +11,11 @@
 
 // The actions of a decision.
 const (
-	// Submit sends Txn to Backend. The submission times out after After. If After is 0, the submission times out at the expiry of
-	// Txn.
+	// Submit sends Txn to Backend. The field After is the time-out of the submission. If After is 0, the submission times out at the
+	// expiry of Txn.
 	Submit Action = iota
 	// Reject tells the client that a retry of Txn is safe. Either Txn has not run and will not run, or the product of Txn allows
-	// repeats. The answer advises the client to retry after After. If After is 0, the answer carries no advice.
+	// repeats. The field After is the delay after which the answer advises the client to retry. If After is 0, the answer has no advice.
 	Reject
 	// Fail tells the client that Txn gets no response and may have run.
 	Fail
@@ -25,7 +25,7 @@
 	Probe
 	// SendDatagram sends Payload to Peer.
 	SendDatagram
-	// Wake calls the module's Woken method after the delay After. The argument of the call is Token.
+	// Wake calls the module's Woken method with the argument Token. The field After is the delay of the call.
 	Wake
 	// Log writes Entry to the log.
 	Log
@@ -37,13 +37,13 @@
 	Txn             TxnID
 	Attempt         int // index of the submission among all submissions of Txn, from 0
 	Backend         BackendID
-	After           time.Duration
+	After           time.Duration // time-out (Submit), retry delay (Reject) or delay (Wake)
 	ResponseTimeout time.Duration // for Submit: the longest time from the first byte of a response to its last
-	Peer            GatewayID
-	Payload         []byte
-	Entry           *LogEntry
-	Reason          Reason // for Reject and Fail
-	Token           uint64 // for Wake: the argument of the Woken call
+	Peer            GatewayID     // for SendDatagram: the receiver of the datagram
+	Payload         []byte        // for SendDatagram
+	Entry           *LogEntry     // for Log
+	Reason          Reason        // for Reject and Fail
+	Token           uint64        // for Wake: the argument of the Woken call
 }
 
 // Reason says what a txn lacked when the txn was rejected or failed. The values are in the order of the counters in
@@ -56,10 +56,10 @@
 	ReasonNoTime Reason = iota
 	// ReasonNoUnits means that the customer's quota has too few units left.
 	ReasonNoUnits
-	// ReasonNoSnapshot means that the owner's last snapshot of the quota has too few units left, or that the owner does not answer.
-	// Package quota explains owner and snapshot.
+	// ReasonNoSnapshot means that another gateway owns the customer's token bucket, and that its last snapshot has too few units left
+	// or it does not answer. Package quota explains owner and snapshot.
 	ReasonNoSnapshot
-	// ReasonNoSlot means that the customer has its maximum number of submissions in flight.
+	// ReasonNoSlot means that the customer already has the maximum number of submissions in flight.
 	ReasonNoSlot
 	// ReasonHardLimit means that the customer has reached its hard limit, which is a second limit that is never exceeded.
 	ReasonHardLimit
--- a/control/loadbalancer/backend.go
+++ b/control/loadbalancer/backend.go
@@ -13,20 +13,21 @@
 type backend struct {
 	control.Endpoint
 	hash        uint64  // identifies the backend in rankings and observations
-	warmUpShare float64 // guaranteed share of the full capacity at the last refresh; 1 means that the backend is warm
-	load        float64 // result of loadOf at the last pick
+	warmUpShare float64 // result of warmUpShareOf at the last refresh; 1 means that the backend is warm
+	load        float64 // result of loadOf when the backend was last a candidate of pickBackend
 
 	// Submissions.
-	inFlight              int
-	sentAt                time.Duration // when the last submission was sent
-	unanswered            int           // submissions without a response since the last response
-	unansweredSince       time.Duration // start of the current period without a response
+	inFlight int           // submissions of this front door in flight at the backend
+	sentAt   time.Duration // when the last submission was sent
+	// unanswered is the number of submissions still in flight at the last response of the backend, plus the submissions sent since.
+	unanswered            int
+	unansweredSince       time.Duration // time from which the submissions in unanswered are without a response
 	consecutiveRejections int           // rejected submissions in a row
-	rejectionBackoffUntil time.Duration // end of the time without submissions after a rejection
+	rejectionBackoffUntil time.Duration // until this time, the backend gets no submissions because it rejected one
 
 	// Load reports.
-	inFlightElsewhere float64 // smoothed number of submissions of other front doors
-	loadReportedAt    time.Duration
+	inFlightElsewhere float64       // smoothed number of submissions of other front doors in flight at the backend
+	loadReportedAt    time.Duration // time at which the last load report arrived
 
 	// Quality.
 	slowdown    float64           // smoothed ratio of the response times to the usual response times
@@ -36,24 +37,24 @@
 
 	// Ejection.
 	ejected       bool
-	passedProbes  int // successful probes in a row while the backend is ejected
-	probing       bool
-	nextProbeAt   time.Duration
+	passedProbes  int           // successful probes in a row while the backend is ejected
+	probing       bool          // a probe is in flight
+	nextProbeAt   time.Duration // earliest time of the next probe; without probes, end of the ejection
 	backoff       time.Duration // length of the last ejection
 	slowStartedAt time.Duration // end of the last ejection; 0 means that there was none
 
 	// Warming up.
-	warmUpTokens   float64
-	warmUpTokensAt time.Duration
-	// warmUpTokensExpire is true if the maximum of the budget is less than one token. Then unused tokens expire.
+	warmUpTokens   float64       // number of tokens; below 0 after a submission that took more than the tokens left
+	warmUpTokensAt time.Duration // time of the last refill of warmUpTokens; 0 means that there was none
+	// warmUpTokensExpire is true if the backend may save up less than one token. In this case, unused tokens expire.
 	warmUpTokensExpire bool
 }
 
 // productFailures holds the failure statistics of one product, either at one backend or over all backends.
 type productFailures struct {
-	share         float64 // smoothed share of failed submissions
-	samples       float64 // number of responses in share, at most maxFailureSamples
-	excludedUntil time.Duration
+	share         float64       // smoothed share of responses that were errors
+	samples       float64       // number of responses in share, at most maxFailureSamples
+	excludedUntil time.Duration // until this time, the backend gets no txns of the product
 	backoff       time.Duration // length of the last exclusion
 }
 
@@ -62,7 +63,8 @@
 	return &backend{Endpoint: endpoint, hash: control.Hash64(uint64(endpoint.ID)), slowdown: 1, failures: make([]productFailures, len(c.products))}
 }
 
-// EndpointsChanged applies changes to the backend list. A complete list replaces the current one.
+// EndpointsChanged updates the backend list. If complete is true, list replaces the current backend list. If complete is false, list
+// contains only the changed entries.
 func (c *Controller) EndpointsChanged(complete bool, list []control.Endpoint) {
 	if complete {
 		for _, b := range c.backendsByID {
@@ -83,7 +85,7 @@
 	c.recheckWaiting, c.saturated, c.readyBackends = true, false, c.readyBackends[:0]
 }
 
-// setEndpoint adds a backend to the list or updates it.
+// setEndpoint adds a backend to the backend list or updates its entry.
 func (c *Controller) setEndpoint(endpoint control.Endpoint) {
 	b := c.backends[endpoint.ID]
 	if b == nil {
@@ -101,8 +103,8 @@
 	b.Endpoint = endpoint
 }
 
-// refreshBackends updates the list of ready backends and the statistics that pickBackend uses. One refresh serves all picks within
-// refreshInterval.
+// refreshBackends updates the list of ready backends and the statistics that pickBackend uses. It does nothing if the last refresh was
+// less than refreshInterval ago and found a ready backend.
 func (c *Controller) refreshBackends() {
 	if c.now-c.refreshedAt < refreshInterval && len(c.readyBackends) > 0 {
 		return
@@ -123,13 +125,13 @@
 			warm++
 		}
 	}
-	// Backends are compared with the median. If all of them are equally slow, none is at fault.
+	// The slowdown of each backend is compared with the median slowdown. If all backends are equally slow, no backend is at fault.
 	c.slowdowns, c.medianSlowdown = slowdowns, max(median(slowdowns), minSlowdown)
 	c.warmRate = c.currentCompletionRate() / max(warm, 1)
 }
 
-// warmUpShareOf returns the share of its full capacity that a backend is guaranteed to have at the current time. The share grows
-// linearly from initialWarmUpShare at the start of the backend to 1 after warmUpTime.
+// warmUpShareOf returns the share of its full capacity that a backend is guaranteed to have at the current time, from 0 to 1. The share
+// grows linearly from initialWarmUpShare at the start of the backend to 1 after warmUpTime.
 func (c *Controller) warmUpShareOf(b *backend) float64 {
 	if b.Started <= 0 || c.warmUpTime <= 0 || c.now-b.Started >= c.warmUpTime {
 		return 1
@@ -138,7 +140,7 @@
 	return c.initialWarmUpShare + (1-c.initialWarmUpShare)*age
 }
 
-// median sorts the numbers in place and returns the middle one, or 1 if there are none.
+// median sorts the numbers in place and returns the median. If there are no numbers, it returns 1.
 func median(numbers []float64) float64 {
 	if len(numbers) == 0 {
 		return 1
@@ -147,8 +149,8 @@
 	return numbers[len(numbers)/2]
 }
 
-// applyLoadReport updates the load of a backend from a load report. It ignores a report of more submissions than all front doors together may
-// have in flight at one backend, because such a report must be wrong.
+// applyLoadReport updates b.inFlightElsewhere from a load report of the backend. It ignores a report of more submissions than
+// all front doors together may have in flight at one backend, because such a report must be wrong.
 func (c *Controller) applyLoadReport(b *backend, load []float64) {
 	reported, ok := reportedInFlight(c.loadReportFields, load)
 	if !ok || reported > maxCapacity*float64(c.gateways) {
@@ -160,8 +162,8 @@
 }
 
 // reportedInFlight returns the number of txns in flight at a backend according to its load report. The number is the field inflight.
-// Without that field, the number is the queue length plus the number of txns in service, which is their rate multiplied by the
-// service time (Little's law). ok is false if the report has neither inflight nor per_s.
+// If the report has no field inflight, the number is the queue length plus the number of txns in service. The number in service is the
+// completion rate (per_s) multiplied by the service time (Little's law). ok is false if the report has neither inflight nor per_s.
 func reportedInFlight(fields []string, load []float64) (n float64, ok bool) {
 	values := map[string]float64{}
 	for i, f := range fields {
--- a/control/loadbalancer/controller.go
+++ b/control/loadbalancer/controller.go
@@ -17,13 +17,13 @@
 	zone               control.ZoneID
 	products           []product
 	plans              []plan
-	maxSubmissions     int           // for one txn
+	maxSubmissions     int           // maximum number of submissions of one txn
 	maxRetryAfter      time.Duration // longest delay after which a client is advised to retry
-	probesAllowed      bool
-	cancelAllowed      bool
-	retryAfterAllowed  bool
-	loadReportsByProbe bool // load reports come with probe responses, not with responses to txns
-	loadReportFields   []string
+	probesAllowed      bool          // ejected backends may be probed
+	cancelAllowed      bool          // submissions may be canceled
+	retryAfterAllowed  bool          // answers may advise a retry delay
+	loadReportsByProbe bool          // load reports come with probe responses, not with responses to txns
+	loadReportFields   []string      // names of the numbers in a load report, in their order
 	warmUpTime         time.Duration // warm-up time of a backend after its start
 	initialWarmUpShare float64       // share of its full capacity that a backend has at its start
 	// A backend that is warming up is overloaded if it gets more than overloadFactor times the submissions of a warm backend within
@@ -34,8 +34,8 @@
 	// Time.
 	now        time.Duration
 	startedAt  time.Duration
-	sweptAt    time.Duration
-	wakeAt     time.Duration
+	sweptAt    time.Duration // time of the last sweep
+	wakeAt     time.Duration // time of the last scheduled wake-up
 	stallStart time.Duration // start of the last stall of this process
 	stallEnd   time.Duration // end of the last stall of this process
 
@@ -47,45 +47,47 @@
 	timers         timerqueue.Queue[control.TxnID] // expiries of txns and ends of their waiting times
 	undecided      []*txn                          // txns to decide next
 	waiting        []*txn                          // txns that wait for units, a snapshot, a slot or a backend
-	recheckWaiting bool                            // waiting txns must be decided again
+	recheckWaiting bool                            // the waiting txns must be decided again
 	decisions      []control.Decision              // decisions that Next has not returned yet
-	retryBudget    float64
-	giveUpCounts   reasonCounts // txns rejected or failed since the last summary
-	loggedAt       time.Duration
+	retryBudget    float64                         // number of retries that are allowed now
+	giveUpCounts   reasonCounts                    // txns rejected or failed since the last summary
+	loggedAt       time.Duration                   // time of the last summary in the log
 
 	// Backends.
 	backends       map[control.BackendID]*backend
-	backendsByID   []*backend // all backends, sorted by ID
-	backendsByHash map[uint64]*backend
-	readyBackends  []*backend // backends that were ready at the last refresh
-	refreshedAt    time.Duration
-	examinedAt     time.Duration
-	probeBudget    float64
-	candidates     []*backend // buffer of pickBackend that is reused
-	slowdowns      []float64  // buffer of refreshBackends that is reused
-	medianSlowdown float64
+	backendsByID   []*backend          // all backends, sorted by ID
+	backendsByHash map[uint64]*backend // keys are the bits of the hash that observations carry
+	readyBackends  []*backend          // backends that were ready at the last refresh
+	refreshedAt    time.Duration       // time of the last refresh by refreshBackends
+	examinedAt     time.Duration       // time of the last run of examineBackends
+	probeBudget    float64             // number of probes that are allowed now
+	candidates     []*backend          // reused buffer of pickBackend
+	slowdowns      []float64           // reused buffer of refreshBackends
+	medianSlowdown float64             // median slowdown of the ready backends that are not ejected
 
 	// Statistics over all backends.
-	usualLatencies   map[int]float64 // usual response time for each kind of work, in seconds
-	meanUsualLatency float64         // mean usual response time of the submitted txns, in seconds
-	fleetFailures    []productFailures
-	fleetLossShare   float64 // smoothed share of submissions that were lost
-	completionRate   float64 // smoothed rate of responses from warm backends, per second
-	completionRateAt time.Duration
-	warmRate         float64             // completionRate divided by the number of warm backends
+	usualLatencies   map[int]float64     // usual response time for each kind of work, in seconds
+	meanUsualLatency float64             // mean usual response time of the submitted txns, in seconds
+	fleetFailures    []productFailures   // failures over all backends, indexed by control.ProductID
+	fleetLossShare   float64             // smoothed share of submissions that were lost
+	completionRate   float64             // smoothed rate of responses from warm backends, per second
+	completionRateAt time.Duration       // time of the last update of completionRate
+	warmRate         float64             // completionRate divided by the number of warm backends, per second
 	observations     []quota.Observation // outcomes of the last submissions
 	observationCount int                 // number of observations since the start
 
 	// Capacity.
-	capacity     float64
-	capacityGain float64
-	utilization  float64       // share of the capacity in use
-	saturated    bool          // true from the time when no backend has capacity until a submission ends, the backend list changes or a sweep runs
-	saturatedAt  time.Duration // time when a txn last found no backend with capacity
+	capacity     float64 // learned number of submissions that this front door may have in flight at a usual backend
+	capacityGain float64 // relative increase of the capacity after a prompt response
+	utilization  float64 // share of the capacity of the eligible backends in use at the last pick
+	// saturated is true after a txn found no backend with capacity. The end of a submission, a change of the backend list and each sweep
+	// set it to false.
+	saturated   bool
+	saturatedAt time.Duration // time at which a txn last had to wait for a backend with capacity
 }
 
-// New returns a controller with the given settings and without any learned state. If a setting is missing or invalid, New returns a
-// *SettingError for the first one.
+// New returns a controller with the given settings and without any learned state. All random numbers are derived from the seed. If a
+// setting is missing or invalid, New returns a *SettingError for the first one.
 func New(seed int64, s control.Settings, now time.Duration) (*Controller, error) {
 	r := &settingsReader{settings: s}
 	self := control.GatewayID(r.readCount("me", 1<<20))
@@ -144,9 +146,9 @@
 	return &c.plans[id].Limit
 }
 
-// Now sets the clock. A time before the current one is ignored. If the clock advances by more than stallThreshold, the process counts
-// as stalled in between. Time-outs, missing responses and old snapshots that result from a stall do not count against backends or
-// peers. The txns that arrived during a stall have already used up a part of their SLA time, which backdateArrivals subtracts.
+// Now sets the clock. A time before the current time is ignored. If the clock advances by more than stallThreshold, the process counts
+// as stalled between the two times. Time-outs, missing responses and old snapshots that result from a stall do not count against
+// backends or peers. The txns that arrived during a stall have used up a part of their SLA time, which backdateArrivals subtracts.
 func (c *Controller) Now(now time.Duration) {
 	if c.now > c.startedAt && now-c.now > stallThreshold {
 		c.stallStart, c.stallEnd = c.now, now
@@ -221,7 +223,7 @@
 	return refreshInterval
 }
 
-// sweep examines the backends at each refreshInterval, sweeps the quota, and has the waiting txns decided again.
+// sweep calls examineBackends once per refreshInterval, sweeps the quota, and makes Next decide the waiting txns again.
 func (c *Controller) sweep() {
 	c.recheckWaiting, c.saturated = true, false
 	if c.now-c.examinedAt >= refreshInterval {
@@ -245,8 +247,8 @@
 	return control.Decision{Action: control.Wake, After: c.wakeAt - c.now}, true
 }
 
-// Woken reports a scheduled wake-up. The method does nothing, because the host calls Next afterwards and Next compares the clock with
-// the times at which work is due.
+// Woken is called by the host at a scheduled wake-up. The method does nothing, because the host calls Next after Woken, and Next compares
+// the clock with the times at which work is due.
 func (c *Controller) Woken(uint64) {}
 
 // DatagramReceived applies a datagram from a peer.
@@ -256,7 +258,8 @@
 	}
 }
 
-// logSummary adds a decision to log a summary. It then resets the counts of txns that were given up.
+// logSummary adds a decision to log a summary of the txns that were rejected or failed since the last summary. It then resets their
+// counts. ejectedCount is the number of ejected backends.
 func (c *Controller) logSummary(ejectedCount int) {
 	var fields []control.LogField
 	for reason, name := range reasonNames {
@@ -272,7 +275,7 @@
 // reasonCounts holds, for each reason, the number of txns that were rejected or failed for it.
 type reasonCounts [control.ReasonCount]int
 
-// reasonNames are the field names of reasonCounts in the log.
+// reasonNames has the name of the log field for each reason.
 var reasonNames = [control.ReasonCount]string{
 	control.ReasonNoTime: "no_time", control.ReasonNoUnits: "no_units", control.ReasonNoSnapshot: "no_snapshot",
 	control.ReasonNoSlot: "no_slot", control.ReasonHardLimit: "hard_limit", control.ReasonNoBackend: "no_backend",
--- a/control/loadbalancer/doc.go
+++ b/control/loadbalancer/doc.go
@@ -5,7 +5,7 @@
 //
 // A txn that its customer's quota covers (package quota) goes to the first backend in the customer's ranking that has capacity. The
 // ranking orders the backends by a hash of customer and backend (rendezvous hashing). The backends in the zone of the front door come
-// first. So the txns of a customer go to the same few backends.
+// first. As a result, the txns of a customer go to the same few backends.
 //
 // The controller learns the capacity of the backends from responses. Late responses lower the capacity, and prompt responses raise it.
 // With hundreds of front doors, each front door sends too few submissions to one backend to learn the state of the backend alone. So each
@@ -27,12 +27,12 @@
 //   - Slowdown: the smoothed ratio of a backend's response times to the usual response times. A usual backend has a slowdown of 1. The
 //     slowdown is compared with the median of all backends.
 //   - Capacity: the number of submissions that this front door may have in flight at a usual backend.
-//   - Pressure: the state in the 0.3 s after a txn found no backend with capacity.
-//   - Load report: numbers in the response to a txn or a probe, from which the load of the backend by all front doors is computed.
-//   - Ejected: a backend that gets no txns until probes succeed or the ejection time is over.
-//   - Excluded: a backend that gets no txns of one product.
+//   - Pressure: the state of a front door for 0.3 s after a txn found no backend with capacity.
+//   - Load report: numbers in a backend's response to a txn or a probe. They show the load that all front doors put on the backend.
+//   - Ejected: the state of a backend that gets no txns until probes succeed or, if probes are disabled, until the ejection time is over.
+//   - Excluded: the state of a backend that gets no txns of one product for a time.
 //   - Slow start: the time after an ejection in which the share of the capacity that a backend may use grows.
-//   - Warm-up tokens: the budget of submissions to a backend that has just started.
+//   - Warm-up tokens: the budget of submissions to a backend that has just started. A usual submission takes one token.
 //
 // # Rules
 //
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -36,9 +36,10 @@
 	}
 }
 
-// shouldEject reports whether to eject a backend while the given number of backends is ejected. maxEjectedShare does not bound the
-// ejection of unresponsive backends, because they get no submissions anyway. Ejection lets them recover whichever txns arrive,
-// because an ejected backend is readmitted by probes or, without probes, after its ejection time.
+// shouldEject reports whether to eject a backend while ejectedCount backends are ejected. Unresponsive backends are ejected even if more
+// than maxEjectedShare of the backends are then ejected, because unresponsive backends get hardly any submissions anyway. Without
+// ejection, an unresponsive backend could recover only through inquiry-like txns. An ejected backend is readmitted by probes or, if
+// probes are disabled, after its ejection time.
 func (c *Controller) shouldEject(b *backend, ejectedCount int) bool {
 	if b.unanswered >= 2 && c.now-b.unansweredSince > unresponsiveEjectionTime {
 		return true
@@ -50,7 +51,8 @@
 	return failing || b.slowdown > slowEjectionRatio*c.medianSlowdown
 }
 
-// eject ejects a backend. Each ejection lasts twice as long as the last one, up to maxEjectionTime.
+// eject ejects a backend. The first ejection of a backend lasts for minEjectionTime. Each further ejection of the backend lasts twice as
+// long as the ejection before, up to maxEjectionTime.
 func (c *Controller) eject(b *backend) {
 	b.ejected, b.passedProbes = true, 0
 	b.backoff = min(max(minEjectionTime, 2*b.backoff), maxEjectionTime)
@@ -74,8 +76,8 @@
 	return (c.loadReportsByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
 }
 
-// precedesInProbing reports whether b is probed before other. An ejected backend precedes a backend that is not ejected. Otherwise,
-// the backend whose probe is due earlier precedes the other.
+// precedesInProbing reports whether b is probed before other. An ejected backend precedes a backend that is not ejected. If both or
+// neither are ejected, the backend with the earlier nextProbeAt precedes the other.
 func precedesInProbing(b, other *backend) bool {
 	if b.ejected != other.ejected {
 		return b.ejected
@@ -83,8 +85,9 @@
 	return b.nextProbeAt < other.nextProbeAt
 }
 
-// sendProbe probes a backend, unless b is nil, and takes one probe from the probe budget. Most of this budget is earned by txns, so
-// many front doors together send hardly more probes than a few.
+// sendProbe probes a backend and takes one probe from the probe budget. It does nothing if b is nil or if the budget has less than one
+// probe. Most of the budget is earned by txns, so the number of probes depends on the number of txns. It hardly depends on the
+// number of front doors.
 func (c *Controller) sendProbe(b *backend) {
 	c.probeBudget = min(maxProbeBudget, c.probeBudget+idleProbeBudget)
 	if b == nil || c.probeBudget < 1 {
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -18,7 +18,7 @@
 		c.applyLoadReport(b, load)
 	}
 	if t == nil || t.sentAt < c.stallEnd && (ending == control.Succeeded || ending == control.TimedOut) {
-		return // the duration shows the stall of this process and not the quality of the backend
+		return // the response time includes the stall of this process and says nothing about the backend
 	}
 	observation := quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Product: t.Product, Congestion: c.congestionOf(t, b, ending)}
 	c.adjustCapacity(observation.Congestion)
@@ -48,8 +48,8 @@
 }
 
 // recordRejection starts a backoff for a backend that rejected a submission. The backoff doubles with each rejection in a row. A
-// rejection shows nothing about other backends. So a rejection does not lower the capacity. Otherwise, one backend that always
-// rejects would leave all other backends unused.
+// rejection shows nothing about other backends, so it does not lower the capacity. If it did, one backend that rejects every submission
+// would leave the other backends unused.
 func (c *Controller) recordRejection(b *backend) {
 	b.rejectionBackoffUntil = c.now + rejectionBackoff<<min(b.consecutiveRejections, maxRejectionDoublings)
 	b.consecutiveRejections++
@@ -72,8 +72,8 @@
 
 // applyObservation updates the statistics from the outcome of one submission of this front door or of a peer. The statistics serve to
 // detect slow, failing and lost backends. A peer's observation has the weight of one response. One observation of a peer cannot
-// readmit an ejected backend. maxEjectedShare bounds the ejections that a peer's observations cause, and the backends that are
-// ejected for this reason are readmitted in the same way as other ejected backends. A peer that is itself slow may report misleading
+// readmit an ejected backend. maxEjectedShare bounds the ejections that the observations of peers cause. Backends that are ejected
+// because of such observations are readmitted in the same way as other ejected backends. A peer that is itself slow may report misleading
 // observations.
 func (c *Controller) applyObservation(b *backend, observation quota.Observation) {
 	switch observation.Ratio {
@@ -92,7 +92,7 @@
 	c.recordLoss(b, 0)
 }
 
-// recordLoss updates the loss shares of the backend and the fleet. lost is 1 for a lost submission and 0 otherwise.
+// recordLoss updates the loss shares of the backend and the fleet. lost is 1 for a lost submission and 0 for any other submission.
 func (c *Controller) recordLoss(b *backend, lost float64) {
 	b.lossSamples = b.lossSamples*(1-smoothing) + 1
 	b.lossShare += max(smoothing, 1/b.lossSamples) * (lost - b.lossShare)
@@ -100,10 +100,10 @@
 }
 
 // recordProductResult updates the failure share of one product at a backend and excludes the backend for that product if the share is
-// too high. failed is 1 for a failed submission and 0 otherwise. Each exclusion lasts twice as long as the last one. After the
-// exclusion, the product's txns use the backend again. If a product fails equally at all backends, no backend is at fault and none is
-// excluded. The exclusion applies to a backend that quickly responds with errors for all products, and to a product that fails at
-// only one backend.
+// too high. failed is 1 for a failed submission and 0 for any other submission. Each exclusion lasts twice as long as the exclusion
+// before. After the exclusion, the product's txns use the backend again. If a product fails equally at all backends, no backend is at
+// fault and none is excluded. The exclusion applies to a backend that quickly responds with errors for all products, and to a product
+// that fails at only one backend.
 func (c *Controller) recordProductResult(p control.ProductID, b *backend, failed float64) {
 	f, fleet := &b.failures[p], &c.fleetFailures[p]
 	f.samples = min(f.samples+1, maxFailureSamples)
@@ -112,7 +112,7 @@
 	switch {
 	case f.excludedUntil > c.now:
 		if failed > 0 {
-			f.excludedUntil = c.now + f.backoff // a submission of a peer, or one sent before the exclusion, still fails
+			f.excludedUntil = c.now + f.backoff // the failed submission came from a peer or was sent before the exclusion
 		}
 	case f.share > failureThreshold && f.samples >= 2 && f.share > failureOutlierFactor*fleet.share:
 		f.backoff = min(max(minEjectionTime, 2*f.backoff), maxEjectionTime)
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -7,17 +7,17 @@
 	"clovergap/control"
 )
 
-// candidateSet summarizes the backends that are eligible for a txn.
+// candidateSet summarizes the backends that are eligible for a txn. isEligible defines when a backend is eligible.
 type candidateSet struct {
-	anyEligible bool
-	inFlight    float64    // number of submissions of this front door in flight at eligible backends
+	anyEligible bool       // true if at least one backend is eligible
+	inFlight    float64    // number of submissions of this front door in flight at the eligible backends
 	capacity    float64    // total capacity of the eligible backends
 	candidates  []*backend // eligible backends that have capacity
 	load        float64    // total load of the candidates
 }
 
-// pickBackend returns the backend for a txn. This is the first backend in the ranking of the txn's customer that has capacity. The
-// result is nil if no backend has capacity.
+// pickBackend returns the backend for a txn. The result is the first eligible backend in the ranking of the txn's customer that has
+// capacity. If backends are eligible but none has capacity, the result is nil. If no backend is eligible, pickFallbackBackend decides.
 func (c *Controller) pickBackend(t *txn) *backend {
 	c.refreshBackends()
 	set := c.candidateSetFor(t)
@@ -56,8 +56,8 @@
 }
 
 // pickByRank returns the candidate with the highest rank. The ranks of backends in the own zone are above all others, because traffic
-// between zones has a cost. Candidates with far more than the mean load are skipped. If all candidates are skipped, the result is the
-// candidate with the lowest load.
+// between zones has a cost. Candidates with far more than the mean load (maxLoadFactor) are skipped. If all candidates are skipped, the
+// result is the candidate with the lowest load.
 func (c *Controller) pickByRank(t *txn, set candidateSet) *backend {
 	maxLoad := maxLoadFactor*set.load/float64(len(set.candidates)) + 1
 	var first, least *backend
@@ -80,7 +80,7 @@
 }
 
 // rankOf returns the rank of a backend for the customer of a txn. In the own zone, a backend whose warm-up tokens expire ranks above
-// all others, because its token would expire unused at a lower rank.
+// all others, because at a lower rank its tokens would expire before they are used.
 func (c *Controller) rankOf(b *backend, t *txn) uint64 {
 	rank := control.Hash64(uint64(t.Customer)*control.GoldenRatio64^b.hash) >> 2
 	if b.Zone == c.zone {
@@ -92,9 +92,10 @@
 	return rank
 }
 
-// pickFallbackBackend returns the backend to use if no backend is eligible for a txn. Among the backends that the rules allow and
-// that have capacity, this is the backend with the least sum of loss share and submissions in flight. The result is nil if there is
-// no such backend.
+// pickFallbackBackend returns the backend to use if no backend is eligible for a txn. The result is one of the backends that the rules
+// allow and that have capacity. Of these backends, it is the backend with the smallest sum of two numbers, which are the number of this
+// front door's submissions in flight and the loss share. The loss share is at most 1, so it mainly decides between backends with
+// equally many submissions in flight. The result is nil if the rules allow no backend that has capacity.
 func (c *Controller) pickFallbackBackend(t *txn) (best *backend) {
 	for _, b := range c.readyBackends {
 		if c.rulesAllow(b, t) && float64(b.inFlight+1) <= max(1, c.capacity) &&
@@ -105,7 +106,8 @@
 	return best
 }
 
-// isEligible reports whether a backend is suitable for a txn, regardless of its capacity.
+// isEligible reports whether a txn may go to a backend, regardless of the backend's capacity. A backend is not eligible if it is ejected,
+// excluded, unresponsive, or in a rejection backoff, if it was the last backend of the txn, or if the rules forbid a submission.
 func (c *Controller) isEligible(b *backend, t *txn) bool {
 	if b.ejected || b == t.previousBackend || b.rejectionBackoffUntil > c.now || c.isExcludedFor(b, t) || c.mustAvoidUnresponsive(b, t) || !c.rulesAllow(b, t) {
 		return false
@@ -129,8 +131,9 @@
 	return b.warmUpShare >= 1 || c.refillWarmUpTokens(b) >= 1
 }
 
-// isExcludedFor reports whether a backend is excluded for the product of a txn. A once-only txn cannot be retried after an error, so
-// a backend where any other product fails is also excluded for it. Txns of the other products show when that backend has recovered.
+// isExcludedFor reports whether a backend is excluded for the product of a txn. A once-only txn cannot be retried after an error, so a
+// backend at which any other product fails is also excluded for once-only txns. Txns of the other products show when that backend has
+// recovered.
 func (c *Controller) isExcludedFor(b *backend, t *txn) bool {
 	if c.products[t.Product].effect == onceOnly {
 		for p, f := range b.failures {
@@ -155,15 +158,15 @@
 	return !trial && c.now-b.unansweredSince > timeout
 }
 
-// loadOf returns the load of a backend. The unit is one usual txn in flight at a warm backend. The weight of a load report decreases
-// with its age. With a constant weight, a backend that once reported a high load would not be picked any more and could never report
-// a lower load.
+// loadOf returns the load of a backend, which is estimated from the submissions of all front doors. The unit of the result is one usual
+// txn in flight at a warm backend. The weight of a load report decreases with its age. With a constant weight, a backend that once
+// reported a high load would not be picked again, so it could never report a lower load.
 func (c *Controller) loadOf(b *backend) float64 {
 	elsewhere := b.inFlightElsewhere * max(0, 1-float64(c.now-b.loadReportedAt)/float64(loadReportTTL))
 	return (float64(b.inFlight) + elsewhere) * max(b.slowdown/c.medianSlowdown, minLoadSlowdown) / b.warmUpShare
 }
 
-// slowStartShare returns the share of its capacity that a backend may use after an ejection. This share grows linearly from
+// slowStartShare returns the share of its capacity that a backend may use after an ejection, from 0 to 1. This share grows linearly from
 // minSlowStartShare to 1 within slowStartTime.
 func (c *Controller) slowStartShare(b *backend) float64 {
 	if b.slowStartedAt == 0 || c.now-b.slowStartedAt > slowStartTime {
@@ -179,7 +182,7 @@
 func (c *Controller) refillWarmUpTokens(b *backend) float64 {
 	minRate := warmUpBudgetShare / float64(c.gateways) / c.longestAssumedLatency()
 	rate := b.warmUpShare * max(c.warmRate, minRate) * c.overloadFactor * warmUpBudgetShare
-	if b.warmUpTokensAt == 0 { // the initial fraction of a token is random, so that many front doors together keep to the rate from the start
+	if b.warmUpTokensAt == 0 { // a random initial fraction spreads the first submissions of many front doors over time
 		b.warmUpTokens, b.warmUpTokensAt = c.rng.Float64(), c.now
 	}
 	b.warmUpTokens, b.warmUpTokensAt = b.warmUpTokens+rate*(c.now-b.warmUpTokensAt).Seconds(), c.now
@@ -187,7 +190,7 @@
 	b.warmUpTokensExpire = maxTokens < 1
 	if !b.warmUpTokensExpire {
 		b.warmUpTokens = min(b.warmUpTokens, maxTokens)
-	} else if b.warmUpTokens > 1+maxTokens { // unused tokens expire; otherwise hundreds of front doors could use their saved tokens at once
+	} else if b.warmUpTokens > 1+maxTokens { // unused tokens expire, so that hundreds of front doors cannot use saved tokens at the same time
 		b.warmUpTokens -= math.Floor(b.warmUpTokens - maxTokens)
 	}
 	return b.warmUpTokens
--- a/control/loadbalancer/settings.go
+++ b/control/loadbalancer/settings.go
@@ -10,13 +10,13 @@
 	"clovergap/control/quota"
 )
 
-// effect is the consequence of running a txn twice, which determines whether it may be retried.
+// effect is the consequence of running a txn twice. It determines whether a txn that may have run may be retried.
 type effect string
 
 const (
 	inquiryLike effect = "inquiry-like" // running the txn again changes nothing, so a retry is allowed at any time
 	referenced  effect = "referenced"   // backends drop a repeat within a time window and a scope
-	onceOnly    effect = "once-only"    // running the txn again repeats its effect, so a retry is forbidden if the txn may have run
+	onceOnly    effect = "once-only"    // running the txn again repeats its consequences, so a txn that may have run must not be retried
 )
 
 // scope is the set of backends that drop a repeat of a referenced txn.
@@ -31,11 +31,11 @@
 // product is a kind of txn.
 type product struct {
 	effect        effect
-	repeatScope   scope         // for referenced products
-	repeatWindow  time.Duration // for referenced products, from the first submission that may have run
+	repeatScope   scope         // for referenced products: backends that drop repeats
+	repeatWindow  time.Duration // for referenced products: time after the first submission that may have run; backends drop repeats in it
 	slaTime       time.Duration // time within which a response has its full value
-	value         float64       // value of a response per unit
-	lateValue     float64       // value of a late response
+	value         float64       // value of a response within the SLA time, per unit
+	lateValue     float64       // value of a response after the SLA time
 	clientTimeout time.Duration // time-out of a client over all its attempts
 	// attemptTimeout is a client's time-out for one attempt. The value is learned from first attempts. It is 0 while the time-out is
 	// unknown.
@@ -45,7 +45,7 @@
 // plan holds the limits, the price and the charges of a customer.
 type plan struct {
 	quota.Limit
-	price          float64
+	price          float64 // price of the plan
 	overQuotaValue float64 // value of a response beyond the quota
 	overQuotaCost  float64 // charge to the customer for a response beyond the quota
 }
@@ -53,7 +53,7 @@
 // SettingError is the error for a missing or invalid setting.
 type SettingError struct {
 	Name    string // name of the setting, or names of several related settings
-	Problem string
+	Problem string // what is wrong with the setting, for example "missing"
 }
 
 func (s *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", s.Name, s.Problem) }
@@ -64,7 +64,7 @@
 	err      error // nil or a *SettingError
 }
 
-// recordError records an error, unless an earlier error is recorded.
+// recordError records an error if no earlier error is recorded.
 func (s *settingsReader) recordError(name, problem string) {
 	if s.err == nil {
 		s.err = &SettingError{Name: name, Problem: problem}
--- a/control/loadbalancer/tuning.go
+++ b/control/loadbalancer/tuning.go
@@ -11,7 +11,7 @@
 	// refreshInterval is the interval between sweeps while nothing waits, and the least interval between two refreshes of the backend
 	// statistics.
 	refreshInterval = 100 * time.Millisecond
-	// stallThreshold is the time without a call of Now after which the process counts as stalled.
+	// stallThreshold is the time between two calls of Now above which the process counts as stalled.
 	stallThreshold = 250 * time.Millisecond
 	// minWakeDelay is the minimum time from a wake-up decision to the wake-up.
 	minWakeDelay = time.Millisecond
@@ -25,15 +25,15 @@
 	minDatagramInterval = 10 * time.Millisecond
 	// snapshotTTL is the time for which a snapshot from an owner may be used.
 	snapshotTTL = 1000 * time.Millisecond
-	// A txn may exceed its quota if responses beyond the quota have a value for its plan. At that time, less than
-	// maxOverQuotaUtilization of the capacity must be in use, and no txn may have lacked capacity for overQuotaCooldown.
+	// A txn may exceed its quota if responses beyond the quota have a value for its plan. In addition, the share of the capacity in use
+	// must be below maxOverQuotaUtilization, and each txn of the last overQuotaCooldown must have found a backend with capacity.
 	maxOverQuotaUtilization = 0.4
 	overQuotaCooldown       = 3 * time.Second
 )
 
 // Times of a txn.
 const (
-	// The front door itself answers a txn at expiryMargin before the expiry of the txn.
+	// expiryMargin is the time before the expiry of a txn at which the front door rejects or fails a txn without an answer.
 	expiryMargin = 2 * time.Millisecond
 	// slaMargin is the time before the end of the SLA time at which a submission times out. A later response has too little value for
 	// the work that it takes.
@@ -42,10 +42,10 @@
 	networkMargin = 40 * time.Millisecond
 	// responseTimeout is the longest time from the first byte of a response to its last.
 	responseTimeout = 100 * time.Millisecond
-	// backendQueueTimeShare is the share of the SLA time for which a txn waits for a backend at most.
+	// backendQueueTimeShare is the maximum share of the SLA time for which a txn waits for a backend.
 	backendQueueTimeShare = 0.35
-	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. This applies
-	// only if the shortened time-out is more than firstAttemptFactor times the usual response time.
+	// A first submission times out after firstAttemptShare of the remaining time, so that there is time for a retry. The time-out
+	// is shortened only if the shortened time-out is more than firstAttemptFactor times the usual response time.
 	firstAttemptShare  = 0.9
 	firstAttemptFactor = 4
 	// Each txn adds retryBudgetPerTxn retries to the retry budget, which holds at most maxRetryBudget.
@@ -63,7 +63,7 @@
 	latencySmoothing = smoothing / 2
 	// loadSmoothing is the weight of a load report in the load of a backend.
 	loadSmoothing = 0.5
-	// loadReportTTL is the time in which the weight of a load report falls linearly to 0.
+	// loadReportTTL is the time after the arrival of a load report in which the weight of the report falls linearly to 0.
 	loadReportTTL = 4 * time.Second
 	// While the usual response time of a txn is unknown, the SLA time divided by unknownLatencyDivisor is used instead.
 	unknownLatencyDivisor = 8
@@ -96,7 +96,7 @@
 	postExclusionShare = 0.95
 	// A backend is ejected if its slowdown is above slowEjectionRatio times the median.
 	slowEjectionRatio = 4.0
-	// maxEjectedShare is the share of the backends that may be ejected for losses or slowness.
+	// maxEjectedShare is the maximum share of the ready backends that is ejected because of losses or slowness.
 	maxEjectedShare = 0.5
 	// minEjectionTime is the length of the first ejection or exclusion. Each further ejection or exclusion of the backend lasts twice
 	// as long, up to maxEjectionTime.
@@ -123,8 +123,8 @@
 	// slowStartTime is the time after an ejection in which the share of a backend grows from minSlowStartShare to 1.
 	slowStartTime     = 4 * time.Second
 	minSlowStartShare = 0.2
-	// The settings define the number of submissions that overloads a backend that is warming up. All front doors together send
-	// warmUpBudgetShare of this number to the backend.
+	// The settings define how many submissions overload a backend that is warming up. All front doors together send warmUpBudgetShare
+	// of this number to the backend.
 	warmUpBudgetShare = 0.5
 )
 
@@ -149,21 +149,21 @@
 	// If the slowdown of a backend is above slowOutlierRatio times the median, its late responses are attributed to the backend and
 	// not to congestion of the fleet.
 	slowOutlierRatio = 1.7
-	// pressureTTL is the time for which a lack of capacity counts as pressure.
+	// pressureTTL is the time for which a front door counts as under pressure after a txn found no backend with capacity.
 	pressureTTL = 300 * time.Millisecond
 )
 
 // Choice of a backend.
 const (
-	// At most maxInFlightFactor times its capacity is in flight at one backend.
+	// The number of submissions in flight at one backend is at most maxInFlightFactor times the capacity of the backend.
 	maxInFlightFactor = 1.5
-	// At most burstAllowance times the square root of the whole capacity is in flight beyond that capacity. Txns arrive at random,
-	// and the relative variation of their number is larger for smaller numbers.
+	// The number of submissions in flight at all eligible backends may exceed their total capacity by burstAllowance times the square
+	// root of that capacity. Txns arrive at random, and the relative variation of their number is larger for smaller numbers.
 	burstAllowance = 1.0
-	// A candidate is skipped if one more submission would raise its load above maxLoadFactor times the mean load plus one. The factor
-	// is large because load reports arrive late.
+	// A candidate is skipped if its load after one more submission would be above 1 plus maxLoadFactor times the mean load of the
+	// candidates. The factor is large because load reports arrive late.
 	maxLoadFactor = 8.0
-	// minLoadSlowdown is the lower bound of the factor by which the load of a fast backend is reduced.
+	// minLoadSlowdown is the lower bound of the factor by which the load of a backend is multiplied because the backend is fast.
 	minLoadSlowdown = 0.5
 	// A backend whose slowdown is above maxSlowdownForLimitedPlans times the median gets no txn of a plan that limits the submissions in
 	// flight.
--- a/control/loadbalancer/txn.go
+++ b/control/loadbalancer/txn.go
@@ -10,30 +10,30 @@
 // txn is the state of a txn, which the front door keeps until the txn is answered and its last submission has ended.
 type txn struct {
 	control.Txn
-	arrived     time.Duration
+	arrived     time.Duration // time at which the txn arrived
 	slaDeadline time.Duration // end of the SLA time
-	lateRetry   bool          // a retry by the client, for which the SLA time is over or may be over
+	lateRetry   bool          // the txn is a client's retry whose SLA time is over or may be over
 	ended       bool          // the txn is answered, or its client has left
 
 	// Waiting.
 	queued   bool           // the txn is in Controller.waiting
-	giveUpAt time.Duration  // end of the waiting time
+	giveUpAt time.Duration  // time until which the txn may wait
 	reason   control.Reason // what the txn lacked at the last decision
 
-	// Quota. At most one of these is true.
+	// Quota. At most one of reserved, consumed and overQuota is true.
 	reserved  bool // the units are reserved while the txn waits for a backend
 	consumed  bool // the units are consumed
 	overQuota bool // the txn is admitted beyond the quota and consumes no units
 
 	// Submissions.
-	submissions     int
-	currentBackend  *backend // backend of the submission in flight, or nil
-	previousBackend *backend // backend of the last submission, or nil
-	sentAt          time.Duration
+	submissions     int           // number of submissions so far
+	currentBackend  *backend      // backend of the submission in flight, or nil
+	previousBackend *backend      // backend of the last submission, or nil
+	sentAt          time.Duration // time of the last submission
 
-	// Execution. ranZone and ranPod are those of the backend of the first submission that may have run.
-	mayHaveRun bool
-	firstRanAt time.Duration // when the first submission that may have run was sent
+	// Execution. ranZone and ranPod are the zone and the pod of the backend that got the first submission that may have run.
+	mayHaveRun bool          // a submission of the txn has ended and may have run
+	firstRanAt time.Duration // time at which the first submission that may have run was sent
 	ranZone    control.ZoneID
 	ranPod     control.PodID
 }
@@ -49,7 +49,7 @@
 	request.Units = max(request.Units, 0)
 	t := &txn{Txn: request, arrived: c.now}
 	if request.Product < 0 || int(request.Product) >= len(c.products) || request.Plan < 0 || int(request.Plan) >= len(c.plans) {
-		t.Product, t.Plan, t.slaDeadline = 0, 0, c.now // unknown product or plan: rejected with ReasonNoTime
+		t.Product, t.Plan, t.slaDeadline = 0, 0, c.now // an unknown product or plan is rejected with ReasonNoTime
 	} else {
 		c.setDeadlines(t)
 	}
@@ -58,11 +58,12 @@
 	c.undecided = append(c.undecided, t)
 }
 
-// setDeadlines sets the end of a txn's SLA time. Clients count their SLA time and their time-out from the first attempt. So the
-// expiry of an attempt is the rest of the client's time-out. The expiry is earlier if the client has a shorter time-out for each
-// attempt. The expiries of first attempts show this shorter time-out. A retry with SLA time left is treated as a first attempt. A
-// retry is a late retry if its remaining SLA time is unknown, or if its SLA time is over while a late response still has some value.
-// A late retry leaves low quota buckets and scarce capacity to other txns.
+// setDeadlines sets the end of a txn's SLA time and determines whether the txn is a late retry. A client counts the SLA time and its own
+// time-out from its first attempt. So the expiry of a retry is the end of the client's time-out and shows how long ago the first attempt
+// was. A client may also have a shorter time-out for each attempt. This shorter time-out is learned from the expiries of first attempts.
+// A retry with SLA time left is treated as a first attempt with a shorter SLA time. A retry is a late retry in two cases. In the first
+// case, its remaining SLA time is unknown. In the second case, its SLA time is over, but a late response still has some value. A late
+// retry leaves low quota buckets and scarce capacity to other txns.
 func (c *Controller) setDeadlines(t *txn) {
 	p := &c.products[t.Product]
 	remaining := t.Expiry - c.now
@@ -125,7 +126,9 @@
 	}
 }
 
-// canSubmitInTime reports whether a response may still come in time and, for a txn that was submitted before, whether it may be retried.
+// canSubmitInTime reports whether a response to a submission may still come within the SLA time. For a txn that was submitted before, the
+// result is false if the retry budget or the maximum number of submissions is used up. It is also false if the txn may have run and this
+// front door is under pressure.
 func (c *Controller) canSubmitInTime(t *txn) bool {
 	if t.submissions > 0 && (t.submissions >= c.maxSubmissions || c.retryBudget < 1 || c.isUnderPressure() && t.mayHaveRun) {
 		return false
@@ -133,7 +136,8 @@
 	return c.now+min(c.usualLatency(t), c.products[t.Product].slaTime/4)/2 < t.slaDeadline
 }
 
-// checkQuota reports whether the quota admits a txn or the txn may exceed it. Otherwise, it queues or answers the txn.
+// checkQuota reports whether the quota covers a txn or the txn may exceed the quota. If the result is false, checkQuota has queued or
+// answered the txn.
 func (c *Controller) checkQuota(t *txn, account *quota.Account) bool {
 	request := quota.Request{Units: t.Units, Arrived: t.arrived, SLA: c.products[t.Product].slaTime, LateRetry: t.lateRetry}
 	outcome, at, reason := c.quota.CheckAccount(account, request)
@@ -169,16 +173,17 @@
 	return c.products[t.Product].value * max(t.Units, 1) / max(c.usualLatency(t).Seconds(), 0.001)
 }
 
-// mayExceedQuota reports whether a txn that exceeds its quota is admitted. The plan must have a value for responses beyond the quota
-// and no charge for them. In addition, the backends must have spare capacity, and no txn may have lacked capacity recently.
+// mayExceedQuota reports whether a txn that exceeds its quota is admitted. Responses beyond the quota must have a value and no
+// charge in the plan. The plan must have no hard limit and no limit on submissions in flight. The txn must not be a late retry. In
+// addition, the backends must have spare capacity, and no txn may have lacked capacity within overQuotaCooldown.
 func (c *Controller) mayExceedQuota(account *quota.Account, t *txn) bool {
 	p := &c.plans[account.PlanID()]
 	return p.overQuotaValue > 0 && p.overQuotaCost <= 0 && p.MaxInFlight == 0 && p.HardRate <= 0 && !t.lateRetry &&
 		c.utilization < maxOverQuotaUtilization && c.now-c.saturatedAt > overQuotaCooldown
 }
 
-// queueUntil adds a txn to the waiting txns until the given time at the latest. If that time has passed, the txn is rejected or
-// failed at once.
+// queueUntil adds a txn to the waiting txns. The txn waits until the given time at the latest. If the given time has passed, the txn is
+// rejected or failed at once.
 func (c *Controller) queueUntil(t *txn, until time.Duration) {
 	if until <= c.now {
 		c.rejectOrFail(t, 0)
@@ -192,8 +197,9 @@
 	c.waiting = append(c.waiting, t)
 }
 
-// handleTxnTimer rejects or fails a txn at its expiry or when it has waited for too long. At the end of its waiting time, a txn that
-// waits for units is decided once more instead. If the owner of the quota has not answered, the burst share may admit the txn.
+// handleTxnTimer rejects or fails a txn at its expiry or when it has waited for too long. There is one
+// exception. At the end of its waiting time, a txn that waits for units or for a snapshot is decided once more, because the burst share
+// may cover the txn if the owner of the quota has not answered.
 func (c *Controller) handleTxnTimer(t *txn) {
 	expired := c.now >= t.Expiry-expiryMargin
 	if t.queued && !expired && c.now >= t.giveUpAt && (t.reason == control.ReasonNoUnits || t.reason == control.ReasonNoSnapshot) {
@@ -230,7 +236,7 @@
 	if t.currentBackend != nil && c.cancelAllowed {
 		c.decisions = append(c.decisions, control.Decision{Action: control.Cancel, Txn: t.ID, Attempt: t.submissions - 1})
 	}
-	if t.currentBackend == nil { // otherwise the outcome of the submission is still pending
+	if t.currentBackend == nil { // if a submission is in flight, SubmissionEnded ends the txn
 		c.endTxn(t)
 	}
 }
@@ -246,7 +252,8 @@
 	return false
 }
 
-// submit sends a txn to a backend. All submissions are made by this function. It checks rules 1 to 4 of the package comment again.
+// submit sends a txn to a backend. All submissions are made by this function. It checks rules 1 to 4 of the package comment again. If a
+// rule forbids the submission, the txn is rejected or failed.
 func (c *Controller) submit(t *txn, account *quota.Account, b *backend) {
 	if t.ended || t.currentBackend != nil || t.submissions >= c.maxSubmissions || c.now >= t.Expiry-expiryMargin || !c.rulesAllow(b, t) {
 		c.rejectOrFail(t, 0)
@@ -280,7 +287,7 @@
 // countSubmission records a submission in the statistics of its backend and in the mean work of all txns.
 func (c *Controller) countSubmission(t *txn, b *backend) {
 	if b.warmUpShare < 1 {
-		b.warmUpTokens -= c.relativeWork(t) // may go below 0; the budget must then recover before the next submission
+		b.warmUpTokens -= c.relativeWork(t) // the result may be below 0, so that the next submission must wait for more tokens
 	}
 	if c.meanUsualLatency <= 0 {
 		c.meanUsualLatency = c.usualLatency(t).Seconds()
@@ -294,9 +301,10 @@
 	b.inFlight++
 }
 
-// submissionTimeout returns the time after which a submission times out. The time-out is slaMargin before the end of the SLA time.
-// For a first submission, it is earlier if there is time for a retry. For a once-only txn, the result is 0, so that the submission
-// times out at the expiry of the txn. A once-only txn is not retried after a time-out, so a late response is better than none.
+// submissionTimeout returns the time after which a submission times out. The time-out is slaMargin before the end of the SLA time. For
+// a first submission, the time-out is earlier if there is time for a retry. For a once-only txn, the result is 0, so that the
+// submission times out at the expiry of the txn. A once-only txn is not retried after a time-out, so a late response is better than
+// none.
 func (c *Controller) submissionTimeout(t *txn) time.Duration {
 	if c.products[t.Product].effect == onceOnly {
 		return 0
@@ -309,8 +317,8 @@
 	return timeout
 }
 
-// SubmissionEnded records the outcome of a submission. The host calls it once for each submission. attempt counts from 0. answered
-// reports whether the client has an answer or has left.
+// SubmissionEnded records the outcome of a submission. The host calls it once for each submission. attempt counts from 0. answered is
+// true if the client has an answer or has left. took is the response time, and load is the load report of the backend.
 func (c *Controller) SubmissionEnded(id control.TxnID, attempt int, backendID control.BackendID, ending control.Ending, answered bool, took time.Duration,
 	load []float64) {
 	t, b := c.txns[id], c.backends[backendID]
@@ -344,8 +352,8 @@
 	}
 }
 
-// endTxn ends a txn and removes it. If a submission is in flight, the txn is kept until the submission ends, because the outcome
-// still counts in the statistics of the backend.
+// endTxn ends a txn and removes the txn. If a submission of the txn is in flight, the txn is kept until the submission ends, because the
+// outcome of the submission still counts in the statistics of the backend.
 func (c *Controller) endTxn(t *txn) {
 	t.ended = true
 	c.releaseReservation(t)
@@ -354,7 +362,7 @@
 	}
 }
 
-// releaseReservation releases the units that are reserved for a txn, if any.
+// releaseReservation releases the units that are reserved for a txn. It does nothing if no units are reserved.
 func (c *Controller) releaseReservation(t *txn) {
 	if t.reserved {
 		c.quota.Release(t.Customer, t.Units)
--- a/control/loadbalancer/work.go
+++ b/control/loadbalancer/work.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// maxWorkUnits is the largest number of units that has its own kind of work. Txns with more units share the kind of this number.
+// maxWorkUnits is the largest number of units that has its own kind of work. Txns of one product with more units
+// count as txns with maxWorkUnits units.
 const maxWorkUnits = 63
 
-// workKind returns the number of a txn's kind of work, which is determined by its product and units.
+// workKind returns the number that identifies a txn's kind of work. Txns of the same product with the same units have the same kind.
 func (c *Controller) workKind(t *txn) int {
 	return int(t.Product)*(maxWorkUnits+1) + int(min(max(t.Units, 0), maxWorkUnits))
 }
@@ -32,8 +33,8 @@
 	return max(slowest, 0.001)
 }
 
-// relativeWork returns the ratio of a txn's work to the mean work of the submitted txns. The warm-up tokens of a backend count work
-// and not txns.
+// relativeWork returns the ratio of a txn's work to the mean work of the submitted txns. The result is the number of warm-up tokens
+// that a submission of the txn takes, so a long txn takes more tokens than a short one.
 func (c *Controller) relativeWork(t *txn) float64 {
 	if c.meanUsualLatency <= 0 {
 		return 1
@@ -41,8 +42,8 @@
 	return c.usualLatency(t).Seconds() / c.meanUsualLatency
 }
 
-// countCompletion adds a response of a warm backend to the completion rate. The rate counts responses because backends may get more submissions
-// than they can process.
+// countCompletion adds a response to the completion rate if the backend is warm. The rate counts responses and not submissions, because
+// backends may get more submissions than they can process.
 func (c *Controller) countCompletion(b *backend) {
 	if b.warmUpShare >= 1 {
 		c.completionRate, c.completionRateAt = c.currentCompletionRate()+1/rateWindow, c.now
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -15,7 +15,7 @@
 	lastUsedAt time.Duration // time of the last check of a request of the customer
 
 	owner       control.GatewayID
-	setAssigned bool              // the set has been assigned
+	setAssigned bool              // the set has been assigned; the set is the gateways that may serve the customer
 	setFirst    control.GatewayID // first gateway of the set
 	setWidth    int               // number of gateways in the set
 	inSet       bool              // this gateway belongs to the set
@@ -30,7 +30,7 @@
 
 	// Reports of the other gateways, used by the owner.
 	reporterStates []*reporterState
-	exhausted      bool // the bucket has less than one unit, and snapshots that show it are scheduled
+	exhausted      bool // the bucket has less than one unit, and snapshots with the low level are scheduled for recent reporters
 
 	// Snapshot of the owner, used by the other gateways.
 	hasSnapshot       bool
@@ -40,47 +40,49 @@
 
 	// Reports to the owner, used by the other gateways.
 	unreported          float64       // units consumed that are not in a delta yet
-	unacked             float64       // units in deltas that the owner has not acknowledged
+	unacked             float64       // units in sent deltas that the owner has not acknowledged
 	reportQueued        bool          // the account is in the report queue of the owner's peer
-	reportedAt          time.Duration // time of the last delta
-	snapshotRequestedAt time.Duration // start of the wait for a snapshot; 0 if none is awaited
-	lastAckedSentAt     time.Duration // first sending time of the latest acknowledged delta; 0 if there is none
-	unitsWanted         float64       // units that a pending request needs
+	reportedAt          time.Duration // time at which the last new delta was sent
+	snapshotRequestedAt time.Duration // start of the wait for a snapshot; 0 if no snapshot is awaited
+	lastAckedSentAt     time.Duration // time at which the latest acknowledged delta was first sent; 0 if no delta is acknowledged
+	unitsWanted         float64       // units that a pending request at this gateway needs; 0 if there is none
 
 	// Hard limit.
-	hardShare       float64 // units left of this gateway's share, which includes the pool at the owner
-	hardShareAt     time.Duration
-	hardUnitsWanted float64 // units to request from the owner's pool
+	hardShare       float64       // units left in this gateway's share of the hard limit; the owner's share includes the pool for grants
+	hardShareAt     time.Duration // time of the last refill of hardShare
+	hardUnitsWanted float64       // units of the hard limit to request from the owner's pool
 
 	// Strict mode, used by gateways that do not own the bucket.
-	granted     float64 // units that the owner has set aside for this gateway
-	grantedAt   time.Duration
-	grantUsed   float64 // units of grants that were consumed or expired and are not reported yet
-	allowance   float64 // units that may be consumed without the owner's knowledge
-	allowanceAt time.Duration
-	// allowanceUsed counts the consumed units of the allowance for which it is not known yet whether the bucket covered them.
+	granted     float64       // units that the owner has set aside for this gateway
+	grantedAt   time.Duration // time of the arrival of the last grant
+	grantUsed   float64       // units of grants that were consumed or expired and are not reported yet
+	allowance   float64       // units that may be consumed without the owner's knowledge
+	allowanceAt time.Duration // time of the last refill of allowance
+	// allowanceUsed is the number of units consumed from the allowance while it is unknown whether the owner's bucket covered them.
 	allowanceUsed       float64
-	allowanceUnreported float64 // units of unreported that came from the allowance
-	// allowanceAcked counts the units of the allowance that the owner has acknowledged. The owner's next snapshot shows whether the
-	// bucket covered them.
+	allowanceUnreported float64 // the part of the field unreported that was consumed from the allowance
+	// allowanceAcked is the number of units consumed from the allowance that the owner has acknowledged since its last snapshot. The
+	// owner's next snapshot shows whether the bucket covered these units.
 	allowanceAcked float64
-	// consumedWhileIsolated is true if units were consumed during an isolation and not all of them are acknowledged.
+	// consumedWhileIsolated is true if this gateway consumed units while it got no answers from the owner (isolationStart), and the
+	// owner has not acknowledged all units yet.
 	consumedWhileIsolated bool
 }
 
 // reporterState is the owner's record of how one other gateway uses a customer's bucket.
 type reporterState struct {
 	from            control.GatewayID
-	receivedAt      time.Duration
-	snapshotLevel   float64 // units in the last snapshot for this reporter
-	inFlight        int     // submissions in flight (in strict mode, a number of units; see reportedInFlight)
-	unitsWanted     float64 // units that a pending request at the reporter needs
-	hardUnitsWanted float64 // units that the reporter requests from the pool of the hard limit
-	// granted is a number of units. In strict mode these units are set aside for the reporter. Without strict mode these units are
-	// part of the reporter's last snapshot, and the snapshots for other gateways leave them out.
+	receivedAt      time.Duration // time of the last delta from the reporter
+	snapshotLevel   float64       // level in the last snapshot for this reporter, in units
+	inFlight        int           // submissions in flight (in strict mode, a number of units; see reportedInFlight)
+	unitsWanted     float64       // units that a pending request at the reporter needs
+	hardUnitsWanted float64       // units that the reporter requests from the pool of the hard limit
+	// granted is the number of units that only this reporter may consume. In strict mode, the owner has set the units aside in a grant.
+	// Without strict mode, the units are a part of the level in the reporter's last snapshot, and snapshots for other gateways leave
+	// the units out.
 	granted   float64
-	grantedAt time.Duration
-	withheld  float64 // units of the refill that are withheld while the reporter is silent
+	grantedAt time.Duration // time at which granted last rose (without strict mode, time of the last snapshot)
+	withheld  float64       // units of the refill kept out of the bucket because the reporter sends no messages
 }
 
 // getOrCreateAccount returns the account of a customer. If the customer has none, the account is created with the given plan.
@@ -98,16 +100,17 @@
 	return a
 }
 
-// assignOwner sets the gateways that may serve a customer and computes the owner of its bucket. A negative first gateway counts as 0,
-// and a first gateway that is too high is reduced modulo the number of gateways. The width is limited to the range from 1 to the
-// number of gateways.
+// assignOwner sets the gateways that may serve a customer and computes the owner of the customer's bucket. A negative first gateway
+// counts as 0, and a first gateway that is too high is reduced modulo the number of gateways. The width is limited to the range from 1
+// to the number of gateways.
 func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
 	width = min(max(width, 1), l.gatewayCount)
 	first = control.GatewayID(max(int(first), 0) % l.gatewayCount)
 	if a.setAssigned && a.setFirst == first && a.setWidth == width {
 		return
 	}
-	// An earlier set came from a delta of a peer. The share of the hard limit that was computed from that set is void.
+	// The earlier set may be the one that a delta of a peer named. The share of the hard limit that was computed from the earlier set
+	// is void.
 	if a.setAssigned {
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
@@ -119,8 +122,8 @@
 	}
 }
 
-// OwnerOf returns the gateway that owns a customer's bucket. It is the gateway of the set with the highest hash (rendezvous hashing), so
-// all gateways compute the same owner.
+// OwnerOf returns the gateway that owns a customer's bucket. The set of gateways that serve the customer starts at first and has the
+// given width. The owner is the gateway of the set with the highest hash (rendezvous hashing), so all gateways compute the same owner.
 func OwnerOf(c control.CustomerID, first control.GatewayID, width, gateways int) (owner control.GatewayID) {
 	highest := uint64(0)
 	for i := range width {
@@ -132,8 +135,8 @@
 	return owner
 }
 
-// initialLevel returns the level of a new owned bucket. The bucket is empty until Config.OwnershipDelay after the assignment of
-// owners and is then refilled at the rate. In a new cluster, the level also includes the initial fill.
+// initialLevel returns the level of a new bucket that this gateway owns. The bucket counts as empty until Config.OwnershipDelay after
+// the assignment of owners and as refilled at the rate from then on. In a new cluster, the level also includes the initial fill.
 func (l *Limiter) initialLevel(a *Account) float64 {
 	level := a.limit.Rate * max(0, l.now-l.ownersAssignedAt-l.config.OwnershipDelay).Seconds()
 	if l.freshCluster && l.olderPeerDatagrams == 0 {
@@ -151,7 +154,8 @@
 	return fill
 }
 
-// addInFlight adds n to the submissions in flight at this gateway. If the customer has a limit on them, it schedules a report to the owner.
+// addInFlight adds n to the customer's submissions in flight at this gateway. If the customer has a limit on submissions in flight,
+// addInFlight schedules a report to the owner.
 func (l *Limiter) addInFlight(a *Account, n int) {
 	a.inFlight += n
 	if a.limit.MaxInFlight > 0 {
@@ -181,9 +185,10 @@
 	return r
 }
 
-// recentReporterTotals returns the number n of recent reporters and two totals over all of them but except. inFlight is the total of
-// their submissions in flight. promised is the total of the units that their last snapshots promised, or 0 in strict mode. If except
-// is nil, no reporter is left out of the totals.
+// recentReporterTotals returns the number n of recent reporters, which are the gateways that sent a delta for the customer within
+// reporterTTL. It also returns two totals over all recent reporters except excludedPeer. inFlight is the total of the submissions in
+// flight. promised is the total of the units that the last snapshots promised to one reporter only, or 0 in strict mode. If excludedPeer
+// is nil, both totals include all recent reporters.
 func (l *Limiter) recentReporterTotals(a *Account, excludedPeer *peer) (n, inFlight int, promised float64) {
 	for _, r := range a.reporterStates {
 		if l.now-r.receivedAt >= reporterTTL {
--- a/control/quota/allowance.go
+++ b/control/quota/allowance.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// refillAllowance refills the allowance of a customer up to the present and returns it. The allowance is the number of units that
-// this gateway may consume without the owner's knowledge, with or without a snapshot.
+// refillAllowance adds the refill since the last call to the allowance of a customer and returns the allowance. The allowance is the
+// number of units that this gateway may consume without the owner's knowledge, with or without a snapshot (strict mode).
 //
 // The allowances of all gateways together are the difference between the bound of strict mode and rate x Window + burst. Each gateway
-// gets an equal part of this difference. A share of the part (allowanceBurstShare) is available at once, and the rest is added over a
-// window. The allowance is empty at the start of each epoch, and a partition does not renew it. Units that the owner acknowledges
-// while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway is isolated (isolationStart),
-// the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the same.
+// gets an equal part of this difference. The fraction allowanceBurstShare of this part is the maximum that can be saved up. The rest of
+// the part is added evenly over Config.Window. The allowance is empty at the start of each epoch, and a partition does not renew it.
+// Units that the owner acknowledges while its bucket has units left are returned to the allowance (confirmAllowance). While the gateway
+// is isolated (isolationStart), the allowance also gets the gateway's part of the rate, but the maximum that can be saved up stays the
+// same (at least one unit).
 func (l *Limiter) refillAllowance(a *Account) float64 {
 	n := float64(l.gatewayCount)
 	part := (l.config.Excess*(a.limit.Rate*l.config.Window.Seconds()+a.limit.Burst) + l.config.Margin) / n
@@ -26,8 +27,8 @@
 	return a.allowance
 }
 
-// isolationStart returns the time from which this gateway may consume its part of the rate on its own. If the gateway may not do so
-// yet, the result is the present or later.
+// isolationStart returns the time from which this gateway may consume its part of the rate without the owner. If the gateway may not
+// consume its part yet, the result is the present or later.
 //
 // The owner must be unresponsive, and one of two conditions must be met. In the first condition, the owner received a report shortly
 // before it became unresponsive, and therefore withholds this gateway's part of the rate. In the second condition, this gateway's
@@ -52,9 +53,9 @@
 	return max(from, owner.unreachableSince+reachabilityLag)
 }
 
-// confirmAllowance uses the level in the owner's new snapshot to decide about the acknowledged units of the allowance. If units are
-// left, the bucket covered the acknowledged units, and these units are returned to the allowance. Otherwise the acknowledged units
-// exceeded the bucket, and only the refill of the allowance replaces them.
+// confirmAllowance uses the level in the owner's new snapshot to decide about the acknowledged units of the allowance. If the
+// level is above 0, the bucket covered the acknowledged units, and these units are returned to the allowance. If the level is 0, the
+// acknowledged units may have exceeded the bucket, so only the refill of the allowance replaces them.
 func (l *Limiter) confirmAllowance(a *Account, level float64) {
 	confirmed := min(a.allowanceAcked, a.allowanceUsed)
 	l.refillAllowance(a)
@@ -68,8 +69,8 @@
 // in flight.
 //
 // Strict mode does not limit the submissions in flight and uses the field for a number of units. After an isolation, the value counts
-// the units that may have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself (own) are
-// left out. In all other cases the value is 0.
+// the units that may have been consumed from the withheld part and are not acknowledged yet. The units of the delta itself
+// (deltaUnits) are left out. In all other cases the value is 0.
 func (l *Limiter) reportedInFlight(a *Account, deltaUnits float64) int {
 	switch {
 	case !l.config.Strict:
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -11,9 +11,11 @@
 
 // The results of a check.
 const (
-	// Allowed means that the quota covers the request. The caller next calls Consume, or Reserve if the request still waits.
+	// Allowed means that the quota covers the request. If the request can be forwarded, the caller
+	// next calls Consume. If the request waits for another resource, the caller next calls Reserve.
 	Allowed Outcome = iota
-	// Pending means that the request must be checked again, both when DatagramReceived returns true and at the returned time.
+	// Pending means that the request must be checked again. The caller checks it whenever DatagramReceived returns true, and at the
+	// returned time.
 	Pending
 	// Exceeded means that the quota does not cover the request. The quota may cover a retry after the returned duration.
 	Exceeded
@@ -21,12 +23,14 @@
 
 // Request is a request for units of a customer's quota.
 type Request struct {
-	Units float64
+	Units float64 // units that the request consumes if it is allowed
 	// Arrived is the clock time at which the request arrived. Every check of the request must pass the same value.
 	Arrived time.Duration
-	// SLA is the time from the arrival within which an answer has its full value. The request may wait for a share of this time.
+	// SLA is the time from the arrival within which an answer has its full value. The request waits for units or for
+	// the owner's answer during a fraction of this time (unitTimeoutShare, snapshotTimeoutShare).
 	SLA time.Duration
-	// LateRetry marks a late retry by the client. A late retry is allowed only if enough of the bucket is left for first attempts.
+	// LateRetry is true for a client's retry of a request whose SLA time is over or may be over. Such a retry is allowed only if the
+	// bucket keeps retryReserveShare of the burst for first attempts.
 	LateRetry bool
 }
 
@@ -42,7 +46,8 @@
 	}
 	a.lastUsedAt = l.now
 	outcome, at, _ := l.checkWithReason(a, r)
-	// A request that is not pending no longer needs a grant. Another waiting request sets unitsWanted again at its next check.
+	// A request that is allowed or rejected no longer needs a grant. Another pending request of the customer sets unitsWanted again at
+	// its next check.
 	if outcome != Pending {
 		a.unitsWanted = 0
 	}
@@ -72,10 +77,12 @@
 	return outcome, at, control.ReasonNoSnapshot
 }
 
-// checkWithoutFreeSlot decides on a request of a customer that has reached the maximum number of submissions in flight.
+// checkWithoutFreeSlot decides on a request of a customer that has reached the maximum number of submissions in flight. The request may
+// wait until waitUntil.
 func (l *Limiter) checkWithoutFreeSlot(a *Account, waitUntil time.Duration) (Outcome, time.Duration, control.Reason) {
 	if a.owner != l.self && l.now-a.levelAt > l.answerTimeout(a) {
-		// The submissions at other gateways may have ended long ago. The owner sends their new number only in answer to a report.
+		// The submissions at other gateways may have ended since the last snapshot. The owner sends the new number of submissions in
+		// flight only in answer to a report.
 		l.requestSnapshot(a)
 	}
 	if l.now < waitUntil {
@@ -84,7 +91,7 @@
 	return Exceeded, 0, control.ReasonNoSlot
 }
 
-// checkAgainstBucket decides on a request of a customer whose bucket this gateway owns.
+// checkAgainstBucket decides on a request of a customer whose bucket this gateway owns. The request may wait until waitUntil.
 func (l *Limiter) checkAgainstBucket(a *Account, r Request, waitUntil time.Duration) (Outcome, time.Duration) {
 	l.refillBucket(a)
 	left := a.level - l.outstandingGrants(a)
@@ -98,8 +105,8 @@
 	return Exceeded, after
 }
 
-// requiredLevel returns the level that a request needs. First attempts go before retries that usually come too late, so a late retry
-// must also leave a part of the bucket for first attempts.
+// requiredLevel returns the level of the bucket that a request needs. A late retry needs a higher level than a first attempt, because
+// it must leave retryReserveShare of the burst for first attempts. The response to a late retry usually comes too late.
 func (l *Limiter) requiredLevel(a *Account, r Request) float64 {
 	if r.LateRetry {
 		return r.Units + retryReserveShare*a.limit.Burst
@@ -107,13 +114,13 @@
 	return r.Units
 }
 
-// remoteView holds the values with which a gateway checks one request if another gateway owns the bucket.
+// remoteView holds the values with which this gateway checks one request of a customer whose bucket another gateway owns.
 type remoteView struct {
-	age             time.Duration // age of the snapshot
-	fresh           bool          // the snapshot is recent enough to be used
-	scarce          bool          // one request of this size from each recent reporter would need more units than are left
-	notInSnapshot   float64       // units consumed or reserved at this gateway that are not in the snapshot
-	burstShare      float64       // upper bound of notInSnapshot
+	age             time.Duration // time since the arrival of the owner's last snapshot
+	fresh           bool          // the owner's last snapshot is recent enough to be used
+	scarce          bool          // one request of this size at each recent reporter would need more units than are left
+	notInSnapshot   float64       // units consumed or reserved at this gateway that the snapshot's level still includes
+	burstShare      float64       // upper bound of notInSnapshot, in units
 	allowanceCovers bool          // the allowance covers the request (always true without strict mode)
 	deadline        time.Duration // end of the wait for the owner's answer
 }
@@ -131,8 +138,8 @@
 	if a.hasSnapshot {
 		left = min(left, max(a.level, 0))
 	}
-	// A scarce snapshot is valid only for the requests that waited for the snapshot. With a longer validity, each gateway of a set of
-	// a hundred would consume its share of an empty bucket.
+	// A scarce snapshot (see remoteView) is used only for the time of one answer, so that it serves the requests that waited for it.
+	// With a longer time, each gateway of a set of a hundred gateways would consume its share of an empty bucket.
 	if v.scarce = r.Units*float64(a.reporterCount) > left; v.scarce {
 		ttl = l.answerTimeout(a)
 	}
@@ -164,8 +171,9 @@
 	return Exceeded, time.Duration((l.requiredLevel(a, r) - max(0, a.level-v.notInSnapshot)) / a.limit.Rate * float64(time.Second))
 }
 
-// checkWithStaleSnapshot handles a request without a fresh snapshot. It requests a new snapshot from the owner and decides at once if
-// the stale state suffices. Otherwise decided is false, and the request must wait for the owner's answer or be rejected.
+// checkWithStaleSnapshot handles a request for which this gateway has no fresh snapshot. It requests a new snapshot from the owner. If
+// the state that this gateway has is enough for a decision, decided is true. If decided is false, the request must wait for the
+// owner's answer or be rejected.
 func (l *Limiter) checkWithStaleSnapshot(a *Account, r Request, v remoteView) (outcome Outcome, at time.Duration, decided bool) {
 	l.requestSnapshot(a)
 	unresponsive := l.ownerUnresponsive(a)
@@ -175,8 +183,8 @@
 		}
 		return Exceeded, time.Duration(r.Units / a.limit.Rate * float64(l.gatewayCount) * float64(time.Second)), true
 	}
-	// While the owner is unresponsive, the share grows at the rate divided by the number of reachable reporters. So, after the loss
-	// of a zone, the remaining gateways together serve the whole quota.
+	// While the owner is unresponsive, the burst share grows at the rate divided by the number of reachable reporters. So the
+	// remaining gateways together allow the whole rate after the loss of a zone.
 	share := v.burstShare
 	if unresponsive {
 		share += a.limit.Rate / float64(l.reachableReporterCount(a)) * (l.now - a.snapshotRequestedAt).Seconds()
@@ -188,9 +196,10 @@
 }
 
 // staleSnapshotCovers reports whether an expired snapshot covers a request while the owner is responsive. The level of the snapshot
-// is raised by this gateway's part of the refill since then. Without this condition, many gateways would each consume a share of an
-// empty bucket every second. A scarce snapshot covers a request only if the owner was asked before the request's deadline and has not
-// answered by that deadline.
+// is raised by this gateway's part of the refill since the arrival of the snapshot. If the raised level is too low for the request, the
+// snapshot does not cover the request. Without this condition, many gateways would each consume a share of an empty bucket every second.
+// A scarce snapshot covers a request only if the owner was asked before v.deadline and has not answered by v.deadline. If there is no
+// snapshot yet, only the condition for a scarce snapshot applies.
 func (l *Limiter) staleSnapshotCovers(a *Account, r Request, v remoteView) bool {
 	left := a.level + a.limit.Rate*v.age.Seconds()/float64(max(a.reporterCount, 1)) - v.notInSnapshot
 	if a.hasSnapshot && left < l.requiredLevel(a, r) {
@@ -200,9 +209,9 @@
 	return !v.scarce || unanswered
 }
 
-// burstShare returns the number of units that may be consumed against a snapshot before the owner acknowledges them. This number is
-// the lesser of the burst and lowLevelFactor times the level, divided by the number of recent reporters. The result is at least the
-// given units of one request.
+// burstShare returns the number of units that this gateway may consume against a snapshot before the owner acknowledges the units. The
+// result is the lesser of the burst and lowLevelFactor times the snapshot's level, divided by the number of recent reporters. The
+// result is at least requestUnits, so that one request is never larger than the burst share.
 func (a *Account) burstShare(requestUnits float64) float64 {
 	left := a.limit.Burst
 	if a.hasSnapshot {
@@ -216,20 +225,21 @@
 	return snapshotTimeout + l.interval + l.peers[a.owner].interval
 }
 
-// answerDeadline returns the time until which a request waits for the owner's answer.
+// answerDeadline returns the clock time until which a request waits for the owner's answer.
 func (l *Limiter) answerDeadline(a *Account, r Request) time.Duration {
 	return r.Arrived + min(ownerAttempts*l.answerTimeout(a), time.Duration(snapshotTimeoutShare*float64(r.SLA)))
 }
 
-// ownerUnresponsive reports whether the owner has sent nothing for more than ownerAttempts answer time-outs since a snapshot was
-// requested.
+// ownerUnresponsive reports whether the owner has sent nothing for more than ownerAttempts answer time-outs (answerTimeout) while a
+// snapshot was requested. The time before the end of this process's last pause does not count.
 func (l *Limiter) ownerUnresponsive(a *Account) bool {
 	return l.now-max(a.snapshotRequestedAt, l.peers[a.owner].receivedAt, l.pausedUntil) > ownerAttempts*l.answerTimeout(a)
 }
 
-// reachableReporterCount returns the number of gateways that share the rate while the owner is unresponsive. A gateway counts as lost
-// if an acknowledgement from the gateway has been outstanding for longer than peerLostAfter. Silence of the other gateways proves
-// nothing, because in a wide set two gateways may have nothing to send to each other for a long time.
+// reachableReporterCount returns the number of gateways among which the rate is divided while the owner is unresponsive. The result is
+// the number of recent reporters less the lost gateways. A gateway counts as lost if it has sent nothing for longer than peerLostAfter
+// while this gateway waited for its acknowledgement. A gateway that owes no acknowledgement is not counted as lost, because two gateways
+// of a large set may have nothing to send to each other for a long time.
 func (l *Limiter) reachableReporterCount(a *Account) int {
 	n := a.reporterCount
 	for i := range a.setWidth {
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -14,7 +14,7 @@
 	a.reservations++
 }
 
-// Release ends a reservation. The caller then consumes the units or gives up the request.
+// Release ends a reservation of the given units. The caller then calls Consume or gives up the request.
 func (l *Limiter) Release(c control.CustomerID, units float64) {
 	if a := l.accounts[c]; a != nil {
 		a.reserved = max(0, a.reserved-units)
@@ -29,7 +29,8 @@
 	}
 }
 
-// consume takes units from the share of the hard limit and from the bucket. If another gateway owns the bucket, it schedules a report.
+// consume takes units from this gateway's share of the hard limit and from the bucket. If another gateway owns the bucket, consume counts
+// the units as unreported and schedules a report to the owner.
 func (l *Limiter) consume(a *Account, units float64) {
 	if a.limit.HardRate > 0 {
 		a.hardShare -= units
@@ -64,11 +65,12 @@
 	}
 }
 
-// drawFromBucket takes units from an owned bucket. Units that the bucket does not hold exceed the quota. Without strict mode, these
-// units are ignored. In strict mode, these units lower the level below 0, and later refills raise the level again. The debt is
-// limited (maxDebtTime), so that past use does not reduce the quota for long.
+// drawFromBucket takes units from a bucket that this gateway owns. Units that the bucket does not hold exceed the quota. Without strict
+// mode, the excess units are ignored. In strict mode, the excess units lower the level below 0, and later refills raise the level again.
+// The negative level is limited (maxDebtTime), so that past use does not reduce the quota for long.
 //
-// When the level falls below one unit, drawFromBucket schedules a snapshot for each recent reporter whose last snapshot showed units.
+// When the level falls below one unit, drawFromBucket schedules a snapshot for each recent reporter whose last snapshot
+// showed at least one unit.
 func (l *Limiter) drawFromBucket(a *Account, units float64) {
 	minLevel := 0.0
 	if l.config.Strict {
--- a/control/quota/decode.go
+++ b/control/quota/decode.go
@@ -13,7 +13,7 @@
 var (
 	// ErrMessageVersion means that the datagram has a format that this program does not read.
 	ErrMessageVersion = errors.New("decode datagram: unknown format version")
-	// ErrMalformed means that the datagram is cut short, has extra bytes at its end, or holds a number out of range.
+	// ErrMalformed means that the datagram is cut short, has extra bytes at its end, or contains a number out of range.
 	ErrMalformed = errors.New("decode datagram: malformed payload")
 )
 
@@ -79,8 +79,8 @@
 	}
 }
 
-// readObservation reads an observation. A last byte of up to 253 is the ratio in eighths. The values 255 and 254 stand for
-// ObservedLost and ObservedFailed.
+// readObservation reads an observation. Its last byte is the ratio in eighths if the byte is at most 253. The byte 255 stands for
+// ObservedLost, and the byte 254 stands for ObservedFailed.
 func (r *reader) readObservation() Observation {
 	o := Observation{BackendHash: uint64(r.readOctet()) | uint64(r.readOctet())<<8 | uint64(r.readOctet())<<16}
 	v := r.readOctet()
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -5,9 +5,9 @@
 // # Design
 //
 // Each customer has one owner among the gateways that serve the customer. The owner is computed by rendezvous hashing (OwnerOf), so all
-// gateways compute the same owner. The owner holds the customer's token bucket. Every other gateway decides by the owner's last snapshot,
-// less the units that the gateway has consumed and the owner has not acknowledged. Each gateway reports its consumption to the owner in
-// deltas, and the owner answers each report with a new snapshot.
+// gateways compute the same owner. The owner holds the customer's token bucket. Every other gateway decides by the owner's last
+// snapshot, less the units that the gateway itself has consumed since then and that the owner has not acknowledged. Each gateway
+// reports its consumption to the owner in deltas, and the owner answers each report with a new snapshot.
 //
 // One datagram to a peer has at most 256 bytes and carries the deltas, snapshots and acknowledgements of many customers. Datagrams to a
 // peer are a minimum interval apart. The interval grows with the number of datagrams that the peer receives.
@@ -23,7 +23,8 @@
 //   - units: the cost of a request. A level is the number of units left.
 //   - delta: the units consumed since the last report. Deltas carry a sequence number. They are sent again until they are acknowledged,
 //     and applied once.
-//   - reporter: a gateway that sends deltas for a customer to its owner. Each delta makes its sender a recent reporter for two seconds.
+//   - reporter: a gateway that sends deltas for a customer to its owner. A gateway is a recent reporter for two seconds after
+//     each of its deltas has arrived.
 //   - snapshot: the owner's level for one reporter, with the number of recent reporters. It expires (Config.SnapshotTTL).
 //   - burst share: the units that a gateway may consume against a snapshot before they are acknowledged. It is an equal part of the
 //     burst or of a low level.
@@ -31,9 +32,9 @@
 //     bound. Strict mode adds the allowance, the withheld part and grants of bucket units.
 //   - grant: units that the owner sets aside for one gateway that has a pending request.
 //   - allowance: units that a gateway may consume without the owner's knowledge (strict mode).
-//   - withheld: the part of the refill that belongs to a reporter whose messages have stopped. The owner keeps this part out of the bucket
+//   - withheld part: the part of the refill that belongs to a reporter whose messages have stopped. The owner keeps this part out of the bucket
 //     until a message from the reporter arrives or the reporter is known to be lost (strict mode).
-//   - isolated: a gateway that gets no answers from the owner of a bucket.
+//   - isolated gateway: a gateway that gets no answers from the owner of a bucket.
 //   - hard limit: a second rate and burst, which are split over the gateways. The sum of the shares never exceeds the rate and the burst,
 //     whatever messages are lost and whichever gateways restart. The owner's share includes a pool, from which it grants units to others.
 //   - epoch: the number of one run of a gateway's process. Acknowledgements and grants for another epoch are void.
--- a/control/quota/frontdoor.go
+++ b/control/quota/frontdoor.go
@@ -6,9 +6,10 @@
 	"clovergap/control"
 )
 
-// The functions in this file are for front doors. A front door passes the account, while a gateway's node passes the customer's ID.
+// The functions in this file are for front doors (cmd/clovergap). Most of them take an account. The functions for the nodes of
+// cmd/gateway take the customer's ID instead.
 
-// EnsureAccount returns the account of a txn's customer and assigns the set that the txn names. If the customer has no account,
+// EnsureAccount returns the account of a txn's customer and assigns the set of gateways that the txn names. If the customer has no account,
 // EnsureAccount creates one with the given plan. The returned pointer is valid until the next call of Sweep.
 func (l *Limiter) EnsureAccount(id control.CustomerID, plan control.PlanID, setFirst control.GatewayID, setWidth int) *Account {
 	a := l.getOrCreateAccount(id, plan)
@@ -20,8 +21,9 @@
 // PlanID returns the ID of the plan with which the account was created.
 func (a *Account) PlanID() control.PlanID { return a.planID }
 
-// CheckAccount checks a request like Check, but takes the account and also returns the reason if the request is not allowed. Unlike
-// Check, it does not cancel a request for units to the owner if the outcome is not Pending.
+// CheckAccount checks a request like Check, but takes the account and also returns the reason if the request is not allowed.
+// CheckAccount differs from Check if the request is allowed or rejected. Check then sets the account's unitsWanted to 0, so that the next
+// report to the owner asks for no units. CheckAccount keeps the value of unitsWanted.
 func (l *Limiter) CheckAccount(a *Account, r Request) (Outcome, time.Duration, control.Reason) {
 	return l.checkWithReason(a, r)
 }
@@ -35,7 +37,8 @@
 // SubmissionSent adds one to the submissions in flight of the account's customer.
 func (l *Limiter) SubmissionSent(a *Account) { l.addInFlight(a, 1) }
 
-// SubmissionEnded subtracts one from the submissions in flight of a customer. It does nothing if the number is already 0.
+// SubmissionEnded subtracts one from the submissions in flight of a customer. It does nothing if the number is 0 or if the customer has
+// no account.
 func (l *Limiter) SubmissionEnded(id control.CustomerID) {
 	if a := l.accounts[id]; a != nil && a.inFlight > 0 {
 		l.addInFlight(a, -1)
--- a/control/quota/hardlimit.go
+++ b/control/quota/hardlimit.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// checkHardLimit reports whether this gateway's share of the hard limit covers a request. If the share does not, at is the clock time
-// at which to check again.
+// checkHardLimit reports whether this gateway's share of the hard limit covers a request. If the share does not cover the request, at
+// is the clock time at which to check again.
 //
 // A part of the hard limit (hardEvenShare) is split evenly over the set, so that each gateway has some units during a partition. The
-// rest is the owner's pool. A gateway whose share is too small for a request requests units from the pool. Shares and pool are empty
-// at the start of each epoch. The rates and bursts of the shares and the pool add up to the whole limit, whichever gateways restart.
+// rest is the owner's pool. A gateway whose share is too small for a request requests units from the pool. Shares and pool are empty at
+// the start of each epoch, which is one run of a gateway's process. The rates and bursts of the shares and the pool add up to the whole
+// limit, whichever gateways restart.
 func (l *Limiter) checkHardLimit(a *Account, r Request) (allowed bool, at time.Duration) {
 	if a.limit.HardRate <= 0 {
 		return true, 0
@@ -41,7 +42,7 @@
 	return even / width
 }
 
-// refillHardShare refills this gateway's share of the hard limit up to the present and returns it.
+// refillHardShare adds the refill since the last call to this gateway's share of the hard limit. It returns the units in the share.
 func (l *Limiter) refillHardShare(a *Account) float64 {
 	fill := a.limit.HardRate * l.hardLimitFraction(a) * (l.now - a.hardShareAt).Seconds()
 	a.hardShare, a.hardShareAt = min(l.hardShareCap(a), a.hardShare+fill), l.now
@@ -51,9 +52,9 @@
 // hardShareCap returns the maximum number of units in this gateway's share of the hard limit.
 func (l *Limiter) hardShareCap(a *Account) float64 { return a.limit.HardBurst * l.hardLimitFraction(a) }
 
-// takeTransfer returns the value for the field Transfer of a delta and clears the account's field that held it. Without strict mode
+// takeTransfer returns the value for the field Transfer of a delta and clears the account's field that held the value. Without strict mode
 // the value is negative or 0 and requests that many units from the owner's pool. In strict mode the value is the number of granted
-// units that were used.
+// units that were consumed or expired.
 func (l *Limiter) takeTransfer(a *Account) (transfer float64) {
 	if l.config.Strict {
 		transfer, a.grantUsed = a.grantUsed, 0
@@ -63,9 +64,10 @@
 	return transfer
 }
 
-// grantFromHardPool grants a reporter units from the owner's pool of the hard limit and returns the number of units. The owner
-// subtracts the units before it sends the grant. The reporter adds the units at most once, and only in the epoch for which they were
-// granted. So a lost message loses units, but no message can add the same units twice.
+// grantFromHardPool grants a reporter units from the owner's pool of the hard limit and returns the number of units. The result is 0 if
+// the pool covers less than the reporter requested. The owner subtracts the units before it sends the grant. The reporter adds the
+// units at most once, and only in the epoch for which they were granted. So a lost message loses units, but no message can add the same
+// units twice.
 func (l *Limiter) grantFromHardPool(a *Account, r *reporterState) float64 {
 	if r.hardUnitsWanted <= 0 || !a.inSet || a.limit.HardRate <= 0 {
 		return 0
@@ -73,7 +75,7 @@
 	units := math.Ceil(16*r.hardUnitsWanted) / 16 // the precision of a message
 	r.hardUnitsWanted = 0
 	if units > l.refillHardShare(a)-a.reserved {
-		return 0 // a smaller grant would not cover the waiting request
+		return 0 // a grant of less than the requested units would not cover the waiting request
 	}
 	a.hardShare -= units
 	return units
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -10,16 +10,16 @@
 	"clovergap/internal/invariant"
 )
 
-// Config is the part of the limiter's configuration in which the two programs differ. MinInterval, SnapshotTTL and DatagramsPerSecond
-// must be above 0.
+// Config is the part of the limiter's configuration in which the front door and the gateway program differ. MinInterval, SnapshotTTL
+// and DatagramsPerSecond must be above 0.
 type Config struct {
 	// MinInterval is the minimum interval between two datagrams to one peer.
 	MinInterval time.Duration
-	// SnapshotTTL is the time for which an owner's snapshot may be used.
+	// SnapshotTTL is the time after the arrival of an owner's snapshot for which the snapshot may be used.
 	SnapshotTTL time.Duration
 	// DatagramsPerSecond is the number of datagrams a second that this gateway can receive.
 	DatagramsPerSecond float64
-	// InitialFill is the share of the burst that buckets hold at the start of a new cluster. With 0, buckets start empty.
+	// InitialFill is the fraction of the burst, from 0 to 1, that buckets hold at the start of a new cluster. With 0, buckets start empty.
 	InitialFill float64
 	// MaxUnits is the number of units of the largest request. Each share of a hard limit can hold at least this number of units.
 	MaxUnits float64
@@ -50,16 +50,16 @@
 	PeersEnabled bool
 	// PlanLimit returns the limits of a plan, or nil for a plan that does not exist.
 	PlanLimit func(control.PlanID) *Limit
-	// LastObservations returns the latest observations of backends, which are added to datagrams, and the total number of
-	// observations made since the start.
+	// LastObservations returns the host's latest observations of backends and the total number of observations that the host has
+	// made since its start. The limiter adds the latest observations to its datagrams.
 	LastObservations func() (last []Observation, count int)
-	// ObservationsReceived is called with the observations in a peer's datagram.
+	// ObservationsReceived is called with the observations of backends in a peer's datagram. It may be nil.
 	ObservationsReceived func([]Observation)
 }
 
-// Limiter meters all customers for one gateway. A Limiter holds the buckets that this gateway owns and the snapshots of the other
-// buckets. It creates and applies the messages about buckets and snapshots. A Limiter is not safe for concurrent use. All times are
-// those of the host's clock.
+// Limiter meters all customers for one gateway. A Limiter holds the token buckets that this gateway owns. Of every other bucket, it
+// holds the last snapshot, which is the state that the owning gateway sent. A Limiter creates the messages to other gateways and
+// applies the messages from them. A Limiter is not safe for concurrent use. All times are those of the host's clock.
 type Limiter struct {
 	config  Config
 	options PlanLimiterOptions // PlanLimit is nil if limits are set by SetLimit
@@ -67,7 +67,7 @@
 	now              time.Duration
 	startedAt        time.Duration
 	pausedUntil      time.Duration // end of the last pause of this process
-	ownersAssignedAt time.Duration // time of the last assignment of owners, from which Config.OwnershipDelay counts
+	ownersAssignedAt time.Duration // start of Config.OwnershipDelay after the last assignment of owners
 	sweptAt          time.Duration
 
 	self         control.GatewayID
@@ -75,12 +75,12 @@
 	epoch        uint32
 
 	reachableCount       int           // number of gateways, including this one, that the host reports as reachable
-	reachableCountBefore int           // effectiveReachableCount before the last rise of reachableCount
+	reachableCountBefore int           // result of effectiveReachableCount just before the last rise of reachableCount
 	reachableRoseAt      time.Duration // time of the last rise of reachableCount
 
-	// olderPeerDatagrams counts the datagrams from peers that were started before this gateway.
+	// olderPeerDatagrams is the number of datagrams received from peers that were started before this gateway.
 	olderPeerDatagrams int
-	// youngPeerCount counts the peers that were started at about the same time as this gateway or later.
+	// youngPeerCount is the number of peers that were started at about the same time as this gateway or later.
 	youngPeerCount int
 	freshCluster   bool // no gateway of the cluster is older than this one
 
@@ -89,17 +89,18 @@
 	removedAt       map[control.CustomerID]time.Duration // times at which the metering of customers stopped; kept for removedTTL
 
 	peers               []*peer       // indexed by gateway ID; the entry of this gateway is unused
-	pendingPeers        []*peer       // peers for which there may be something to send
-	version             uint64        // version of the last message with snapshots
+	pendingPeers        []*peer       // peers to which a message may have to be sent
+	version             uint64        // version of the last message that this gateway sent to any peer
 	interval            time.Duration // interval between datagrams to this gateway that peers are asked to keep
-	maxDatagrams        float64       // target for the datagrams a second from all peers
+	maxDatagrams        float64       // target for the number of datagrams a second that all peers together send to this gateway
 	datagramsSinceSweep int           // datagrams received since the last sweep
 	sendersSinceSweep   int           // number of peers that sent datagrams since the last sweep
-	badDatagrams        int
+	badDatagrams        int           // result of BadDatagramCount
 }
 
-// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. The epoch is derived from the seed, so
-// no two runs of a gateway may have the same seed. Limits are set by SetLimit, and the set of each customer is all gateways.
+// NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. Limits are set by SetLimit, and every
+// gateway may serve every customer. The epoch, which identifies this run of the process, is derived from the seed. So no two runs of a
+// gateway may have the same seed.
 func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
 	invariant.Assert(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
 	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0,
@@ -109,8 +110,8 @@
 	return l
 }
 
-// NewPlanLimiter returns the limiter of a front door. Customers have the limits of their plans and the set that each txn names. The
-// epoch must not be 0.
+// NewPlanLimiter returns the limiter of a front door. Each customer has the limits of its plan. The set of gateways that serve a
+// customer is named by each txn. The epoch identifies this run of the process and must not be 0.
 func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, options PlanLimiterOptions) *Limiter {
 	l := newLimiter(epoch, self, gateways, now, config)
 	l.options = options
@@ -141,9 +142,9 @@
 }
 
 // SetLimit sets a customer's rate in units a second and its burst in units. A lower burst reduces the level at once. After a higher
-// burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. The largest customer ID is 1<<34.
+// burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. A customer ID above 1<<34 is not allowed.
 func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "limits are set per customer, and the customer ID fits a message")
+	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "SetLimit is called only on a limiter without plans, and the customer ID is at most 1<<34")
 	a := l.accounts[c]
 	switch {
 	case rate <= 0:
@@ -176,9 +177,9 @@
 // SetReachable sets which gateways this gateway can reach, indexed by gateway ID. Gateways beyond the end of the list count as
 // reachable, and so do all gateways until the first call.
 //
-// In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because those gateways consume their
-// parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because such a gateway may learn of the
-// end of its isolation later than this gateway.
+// In strict mode, unreachable gateways reduce the refill of the buckets that this gateway owns, because the unreachable gateways consume
+// their parts of the rate on their own. The reduction lasts reachabilityLag longer than the fault, because an isolated gateway may
+// learn of the end of its isolation later than this gateway.
 func (l *Limiter) SetReachable(reachable []bool) {
 	for _, a := range l.orderedAccounts {
 		if a.owner == l.self {
@@ -202,8 +203,8 @@
 }
 
 // effectiveReachableCount returns the number of gateways whose parts of the rate refill the buckets. It delays a rise of
-// reachableCount by reachabilityLag. In an owner that has just started, a rise takes effect at once, because such an owner has
-// withheld nothing.
+// reachableCount by reachabilityLag. A rise within grantMaxAge after the start of this gateway takes effect at once, because a
+// gateway that has just started has withheld nothing.
 func (l *Limiter) effectiveReachableCount() int {
 	if l.now-l.reachableRoseAt < reachabilityLag && l.reachableRoseAt-l.startedAt > grantMaxAge {
 		return min(l.reachableCount, l.reachableCountBefore)
@@ -215,11 +216,11 @@
 //
 // A bucket that this gateway owns from now on stays empty for Config.OwnershipDelay. The empty bucket accounts for all units that
 // were consumed before the change of the owner, so no units are consumed twice. Units that the old owner has not acknowledged are
-// reported to the new owner. If the old owner had applied these units, the units count twice, and the customer has too few units for
-// a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner continues to grant units. So
-// gateways must be added only while all gateways can reach each other.
+// reported to the new owner. If the old owner has applied these units without acknowledging them, the units count twice, and the
+// customer has too few units for a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner
+// continues to grant units. So gateways must be added only while all gateways can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.Assert(gateways >= l.gatewayCount && int(self) < gateways, "the number of gateways does not decrease and the gateway ID is below it")
+	invariant.Assert(gateways >= l.gatewayCount && int(self) < gateways, "gateways is at least the current number of gateways, and self is below gateways")
 	previousSelf := l.self
 	if self == previousSelf && gateways == l.gatewayCount {
 		return
@@ -243,7 +244,8 @@
 	}
 }
 
-// reassignOwner computes the owner of an account after Grow. previousSelf is the ID that this gateway had before.
+// reassignOwner computes the owner of an account after Grow. previousSelf is the ID that this gateway had before Grow. delay is the time
+// for which a bucket stays empty if this gateway becomes its owner.
 func (l *Limiter) reassignOwner(a *Account, previousSelf control.GatewayID, delay time.Duration) {
 	owner := OwnerOf(a.id, 0, l.gatewayCount, l.gatewayCount)
 	a.setWidth, a.reporterCount = l.gatewayCount, l.gatewayCount
@@ -263,8 +265,8 @@
 	}
 }
 
-// cancelReports removes an account from the queue of reports to its owner and from the unacknowledged messages. It returns the number
-// of unacknowledged units of the account.
+// cancelReports removes an account from the queue of reports to its owner. It also removes the account's deltas from the messages that
+// the owner has not acknowledged, and returns the number of units in these deltas.
 func (l *Limiter) cancelReports(a *Account) (units float64) {
 	p := l.peers[a.owner]
 	p.reportQueue = slices.DeleteFunc(p.reportQueue, func(o *Account) bool { return o == a })
@@ -282,9 +284,9 @@
 	return units
 }
 
-// detectFreshCluster uses the age of a peer to find out whether the whole cluster was started together with this gateway. In such a new
-// cluster, no units can have been consumed before, so the buckets get their initial fill. One older peer proves that this gateway has
-// restarted, so the buckets of this gateway start empty.
+// detectFreshCluster uses the age of a peer, which is the time since the start of the peer, to find out whether the whole cluster was
+// started together with this gateway. In such a new cluster, no units can have been consumed before the start, so the buckets get their
+// initial fill. One older peer proves that the cluster is not new, so the buckets of this gateway start empty.
 func (l *Limiter) detectFreshCluster(p *peer, age time.Duration) {
 	if age > l.now-l.startedAt+maxStartSkew {
 		l.olderPeerDatagrams++
@@ -303,8 +305,8 @@
 	l.freshCluster = true
 }
 
-// Sweep adapts the interval between datagrams and removes idle accounts and old records of removed customers. It does so at most once
-// a second. Calls in between do nothing.
+// Sweep adapts the interval between datagrams to this gateway, removes idle accounts, and removes old records of customers that are no
+// longer metered. A call less than a second after the last sweep does nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
@@ -315,8 +317,8 @@
 	maps.DeleteFunc(l.removedAt, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
-// adjustInterval adapts the interval that peers are asked to keep to the rate of received datagrams. If many gateways report to this
-// gateway, each of them sends fewer datagrams.
+// adjustInterval sets the interval between datagrams that each peer is asked to keep. The interval grows with the rate of received
+// datagrams, so that each peer sends fewer datagrams if many peers report to this gateway.
 func (l *Limiter) adjustInterval() {
 	rate := float64(l.datagramsSinceSweep) / (l.now - l.sweptAt).Seconds()
 	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
@@ -326,8 +328,8 @@
 	l.datagramsSinceSweep, l.sendersSinceSweep = 0, 0
 }
 
-// removeIdleAccounts removes the idle accounts whose state is equal to that of a new account. Accounts whose limits were set by
-// SetLimit are kept.
+// removeIdleAccounts removes the idle accounts whose state equals the state of a new account. It keeps accounts whose limits were set
+// by SetLimit.
 func (l *Limiter) removeIdleAccounts() {
 	kept := l.orderedAccounts[:0]
 	for _, a := range l.orderedAccounts {
@@ -343,8 +345,8 @@
 	l.orderedAccounts = kept
 }
 
-// NextDeadline returns the next time at which NextDatagram or Sweep may have something to do. The result is never before the current
-// time.
+// NextDeadline returns the next time at which NextDatagram may return a datagram or Sweep may be due. The result is the current time or
+// later.
 func (l *Limiter) NextDeadline() time.Duration {
 	next := l.sweptAt + time.Second
 	for _, p := range l.pendingPeers {
@@ -366,21 +368,21 @@
 // Epoch returns the epoch of this limiter. Messages carry the epoch, and peers repeat it in their acknowledgements.
 func (l *Limiter) Epoch() uint32 { return l.epoch }
 
-// HasPending reports whether a datagram to a peer may be due at the current time or later.
+// HasPending reports whether any peer is queued for a datagram, which may be due at the current time or later.
 func (l *Limiter) HasPending() bool { return len(l.pendingPeers) > 0 }
 
 // CustomerCount returns the number of customers with an account.
 func (l *Limiter) CustomerCount() int { return len(l.accounts) }
 
-// BadDatagramCount returns the number of datagrams that were malformed or came from an unknown peer, plus the number of deltas and
-// messages with deltas that were rejected.
+// BadDatagramCount returns the sum of two numbers since the start. The first is the number of datagrams that were malformed or did not
+// come from a known peer. The second is the number of rejections of single deltas or of all deltas of a message.
 func (l *Limiter) BadDatagramCount() int { return l.badDatagrams }
 
 // AccountState is an excerpt of an account for diagnosis.
 type AccountState struct {
 	Owner    control.GatewayID
 	Level    float64 // units in the bucket or in the owner's last snapshot
-	Reserved float64 // units
+	Reserved float64 // units reserved for requests that wait for another resource
 }
 
 // AccountState returns an excerpt of a customer's account, and false if there is no account.
--- a/control/quota/message.go
+++ b/control/quota/message.go
@@ -14,20 +14,21 @@
 	// maxMessageBytes is the size up to which limiters fill datagrams. The host must be able to send datagrams of this size.
 	maxMessageBytes = 256
 
-	// maxSeq is the largest sequence number or version. maxCount is the largest count or number of sixteenths of a unit.
+	// maxSeq is the largest sequence number or version that a message can hold. maxCount is the largest count of gateways or submissions
+	// and the largest number of units in sixteenths.
 	maxSeq            = 1 << 62
 	maxCount          = 1 << 20
 	maxCustomer       = 1 << 34
 	maxPlan           = 1 << 16
 	maxIntervalMillis = 1 << 14
 
-	// maxDeltaBytes and maxSnapshotBytes are the largest encodings of usual values. A customer ID takes 5 bytes, a plan ID or another small
-	// number 3, and units 4.
+	// maxDeltaBytes and maxSnapshotBytes are the encoded sizes of a delta and of a snapshot with large, but usual values. A customer ID
+	// takes 5 bytes, a plan ID or another small number 3 bytes, and units 4 bytes.
 	maxDeltaBytes    = 5 + 3 + 4 + 3 + 4 + 3 + 4 + 3
 	maxSnapshotBytes = 5 + 4 + 3 + 3 + 4
 	observationBytes = 5
 
-	// ObservationHashMask selects the bits of a backend's hash that an observation carries.
+	// ObservationHashMask selects the bits of a backend's hash that an observation carries, which are the last 24 bits.
 	ObservationHashMask = 1<<24 - 1
 )
 
@@ -40,10 +41,10 @@
 	Age          time.Duration // time since the start of the sender, in whole seconds, at most 255
 	Seq          uint64        // sequence number of the deltas; 0 if there are none
 	Deltas       []Delta
-	Version      uint64 // version of the snapshots; a higher version replaces a lower one
+	Version      uint64 // version of the snapshots; a snapshot with a higher version replaces a snapshot with a lower version
 	AckEpoch     uint32 // receiver's epoch to which the acknowledgement and the snapshots apply
-	AckHigh      uint64 // highest sequence number applied
-	AckMask      uint64 // bitmap of the last 32 sequence numbers; bit i is 1 if AckHigh-i was applied
+	AckHigh      uint64 // highest sequence number of the receiver's deltas that the sender has applied
+	AckMask      uint64 // bitmap of 32 sequence numbers up to AckHigh; bit i is 1 if AckHigh-i was applied
 	Snapshots    []Snapshot
 	Observations []Observation
 }
@@ -52,23 +53,23 @@
 type Delta struct {
 	Customer control.CustomerID
 	Plan     control.PlanID
-	Units    float64 // units consumed since the last report
-	InFlight int     // submissions in flight (in strict mode, a number of units; see reportedInFlight)
+	Units    float64 // units that the sender consumed since its last report
+	InFlight int     // submissions in flight at the sender (in strict mode, a number of units; see reportedInFlight)
 	// Transfer is negative or 0 without strict mode and requests that many units from the pool of the hard limit. In strict mode it
-	// is the number of granted units that were used.
+	// is the number of granted units that were consumed or expired.
 	Transfer float64
 	// SetFirst and SetWidth describe the customer's set. With them, the owner knows the set before it receives a request of the customer.
 	SetFirst    control.GatewayID
-	UnitsWanted float64 // units that a pending request needs
+	UnitsWanted float64 // units that a pending request at the sender needs
 	SetWidth    int
 }
 
 // Snapshot is the state of one customer's bucket that the owner sends to one reporter.
 type Snapshot struct {
 	Customer          control.CustomerID
-	Level             float64 // units left
+	Level             float64 // units left in the bucket for the receiver
 	Reporters         int     // number of recent reporters, including the receiver
-	InFlightElsewhere int     // submissions in flight at other gateways
+	InFlightElsewhere int     // submissions in flight at gateways other than the receiver
 	Grant             float64 // units from the hard limit's pool (in strict mode, units set aside for the receiver)
 }
 
@@ -82,7 +83,7 @@
 	Congestion Congestion
 }
 
-// Congestion says whether one submission showed that the backends as a whole are congested.
+// Congestion is the conclusion from one submission about whether the backends as a whole are congested.
 type Congestion int
 
 // The values of Congestion. CongestionUnknown means that the submission shows neither congestion nor its absence.
@@ -163,8 +164,8 @@
 	return b
 }
 
-// acknowledges reports whether the message acknowledges the given sequence number. A number that is too old for the mask counts as
-// acknowledged.
+// acknowledges reports whether the message acknowledges the given sequence number. A number that is 32 or more below AckHigh counts as
+// acknowledged, because AckMask has no bit for it.
 func (m *Message) acknowledges(seq uint64) bool {
 	return m.AckHigh >= seq && (m.AckHigh-seq >= 32 || m.AckMask>>(m.AckHigh-seq)&1 == 1)
 }
--- a/control/quota/peer.go
+++ b/control/quota/peer.go
@@ -14,8 +14,8 @@
 // peer is the state that this gateway keeps of another gateway.
 type peer struct {
 	id            control.GatewayID
-	epoch         uint32 // epoch of the peer; 0 if nothing has been received from it
-	retiredEpochs []uint32
+	epoch         uint32        // epoch of the peer; 0 if no datagram from the peer has arrived
+	retiredEpochs []uint32      // former epochs of the peer, oldest first, at most maxRetiredEpochs
 	receivedAt    time.Duration // time of the last datagram from the peer
 	sentAt        time.Duration // time of the last datagram to the peer
 	interval      time.Duration // minimum interval between datagrams to the peer, as requested by the peer
@@ -31,30 +31,30 @@
 	snapshotQueue  []control.CustomerID
 	snapshotQueued map[control.CustomerID]bool
 
-	// Deltas to the peer for accounts that it owns.
-	reportQueue  []*Account // accounts to report, oldest first
-	lastSeq      uint64
-	unacked      []*unackedMessage
-	unackedSince time.Duration // start of the wait for an acknowledgement
-	grantVersion uint64        // version of the last message whose grants were applied
+	// Deltas to the peer for accounts that the peer owns.
+	reportQueue  []*Account        // accounts to report, oldest first
+	lastSeq      uint64            // sequence number of the last message with new deltas to the peer
+	unacked      []*unackedMessage // messages without an acknowledgement, in the order in which they are due again
+	unackedSince time.Duration     // time at which unacked last changed from empty to not empty
+	grantVersion uint64            // highest version of a message whose grants were applied
 
-	observationsSent int // number of the host's observations that were sent or skipped
+	observationsSent int // number of the host's observations since its start that were sent to the peer or skipped
 }
 
 // unackedMessage is a sent message whose deltas the peer has not acknowledged.
 type unackedMessage struct {
 	seq            uint64
-	firstSentAt    time.Duration
-	sentAt         time.Duration
-	resends        int
+	firstSentAt    time.Duration // time at which the message was first sent
+	sentAt         time.Duration // time at which the message was last sent
+	resends        int           // number of times that the message was sent again; maxResendDoublings stands for this number or more
 	deltas         []Delta
-	allowanceUnits map[control.CustomerID]float64 // units of the deltas that came from the allowance
+	allowanceUnits map[control.CustomerID]float64 // units in the deltas that were consumed from the allowance, by customer
 }
 
-// isRetiredEpoch reports whether an epoch is one of the peer's last former epochs.
+// isRetiredEpoch reports whether an epoch is one of the former epochs of the peer that are still remembered.
 func (p *peer) isRetiredEpoch(epoch uint32) bool { return slices.Contains(p.retiredEpochs, epoch) }
 
-// beginEpoch records the start of a new epoch of the peer. The sequence numbers and versions of the new epoch start again.
+// beginEpoch records a new epoch of the peer. In the new epoch, the sequence numbers and versions of the peer start at 1 again.
 func (p *peer) beginEpoch(epoch uint32) {
 	if p.epoch != 0 {
 		p.retiredEpochs = append(p.retiredEpochs, p.epoch)
@@ -63,8 +63,8 @@
 	p.epoch, p.appliedHigh, p.appliedMask, p.grantVersion = epoch, 0, 0, 0
 }
 
-// recordApplied records a sequence number as applied and reports whether the number is new. A number that is too low for the window
-// of 64 counts as applied before.
+// recordApplied records that the deltas with a sequence number are applied. It returns true if they have not been applied before. A
+// number that is 64 or more below the highest applied number counts as applied before.
 func (p *peer) recordApplied(seq uint64) bool {
 	if seq > p.appliedHigh {
 		p.appliedMask = p.appliedMask<<min(seq-p.appliedHigh, 64) | 1
@@ -79,7 +79,7 @@
 	return true
 }
 
-// resendTime returns the time at which the oldest unacknowledged message is due to be sent again.
+// resendTime returns the time at which the first message in unacked is due to be sent again.
 func (p *peer) resendTime() time.Duration {
 	oldest := p.unacked[0]
 	return oldest.sentAt + (resendAfter+p.interval)<<oldest.resends
--- a/control/quota/receive.go
+++ b/control/quota/receive.go
@@ -3,8 +3,8 @@
 import "clovergap/control"
 
 // DatagramReceived applies a peer's datagram. It returns true if the datagram may change the result of a check. In that case, the
-// caller must check pending requests again. DatagramReceived drops and counts a datagram that is malformed or does not come from a
-// known peer. It drops a datagram of a former epoch without counting it.
+// caller must check pending requests again. DatagramReceived drops a datagram that is malformed or does not come from a
+// known peer, and counts the datagram in BadDatagramCount. It drops a datagram from a former epoch of the peer without counting it.
 func (l *Limiter) DatagramReceived(from control.GatewayID, payload []byte) (recheck bool) {
 	m, err := DecodeMessage(payload)
 	if err != nil || from < 0 || int(from) >= len(l.peers) || from == l.self {
@@ -35,9 +35,9 @@
 	return m.Seq > 0 || forThisEpoch
 }
 
-// beginPeerEpoch starts a new epoch of a peer that has restarted. It returns false if the peer has ended this epoch before. Reports
-// to the former epoch are dropped. The buckets of the new epoch start empty, and the empty buckets account for all units that were
-// consumed before.
+// beginPeerEpoch starts a new epoch of a peer, which is a new run of the peer's process. It returns false if the epoch is a former epoch
+// of the peer. Reports to the former epoch are dropped. The buckets that the peer owns start empty in the new epoch, and the empty
+// buckets account for all units that were consumed before.
 func (l *Limiter) beginPeerEpoch(p *peer, epoch uint32) bool {
 	if p.isRetiredEpoch(epoch) {
 		return false
@@ -48,7 +48,7 @@
 	for _, a := range l.orderedAccounts {
 		for _, r := range a.reporterStates {
 			if r.from == p.id {
-				r.withheld = 0 // not released, since the former epoch may have consumed these units, and the new epoch does not report them
+				r.withheld = 0 // not released: the former epoch may have consumed these units, and the new epoch does not report them
 			}
 		}
 	}
@@ -56,8 +56,8 @@
 	return true
 }
 
-// discardPeerState discards the unacknowledged reports to a peer. It also discards the peer's snapshots and grants for the accounts
-// that the peer owns.
+// discardPeerState discards the reports that a peer has not acknowledged. It also discards the snapshots and grants that the peer sent
+// for the accounts that it owns.
 func (l *Limiter) discardPeerState(p *peer) {
 	for _, u := range p.unacked {
 		for _, d := range u.deltas {
@@ -77,8 +77,8 @@
 }
 
 // canApplyDeltas reports whether the deltas of a message may be applied. If limits are set by SetLimit, a delta may arrive before this
-// gateway knows the customer or knows that it owns the customer's bucket. In that case no part of the deltas is applied or
-// acknowledged, and the peer sends them again.
+// gateway knows the customer or knows that it owns the customer's bucket. In that case none of the message's deltas is applied, and the
+// message is not acknowledged, so the peer sends the deltas again.
 func (l *Limiter) canApplyDeltas(m *Message) bool {
 	if l.options.PlanLimit != nil {
 		return true
@@ -109,8 +109,8 @@
 	}
 }
 
-// getOrCreateOwnedAccount returns the owned account of a delta's customer, and creates it if needed. It returns nil if the customer is not
-// metered, the plan does not exist, or another gateway owns the account.
+// getOrCreateOwnedAccount returns the account of a delta's customer, whose bucket this gateway owns. If the customer has no account, the
+// account is created. The result is nil if the customer is not metered, if the plan does not exist, or if another gateway owns the bucket.
 func (l *Limiter) getOrCreateOwnedAccount(d Delta) *Account {
 	if l.options.PlanLimit == nil && l.accounts[d.Customer] == nil {
 		return nil // the customer is no longer metered
@@ -120,7 +120,7 @@
 		return nil
 	}
 	a := l.getOrCreateAccount(d.Customer, d.Plan)
-	if !a.setAssigned { // a set that a txn names takes precedence over a set that a peer names
+	if !a.setAssigned { // a set from a txn takes precedence over a set from a peer's delta
 		l.assignOwner(a, d.SetFirst, d.SetWidth)
 	}
 	if a.owner != l.self {
@@ -130,15 +130,15 @@
 	return a
 }
 
-// applyDelta applies one delta. The units of the delta count only at its first arrival. The number in flight and the wanted units
-// count only if no later delta has arrived.
+// applyDelta applies one delta of a message. The units of the delta are applied only if the message arrives for the first time
+// (firstTime). The fields InFlight and UnitsWanted are applied only if no message with later deltas has arrived.
 func (l *Limiter) applyDelta(p *peer, m *Message, a *Account, d Delta, firstTime bool) {
 	l.refillBucket(a)
 	r := a.getOrCreateReporterState(p.id)
 	r.receivedAt = l.now
 	if m.Seq == p.appliedHigh {
 		r.inFlight, r.unitsWanted = d.InFlight, d.UnitsWanted
-		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // the reporter may have consumed these units from the withheld part without having reported them
+		l.releaseWithheld(a, r, r.withheld-float64(d.InFlight)) // InFlight counts units that the reporter may have consumed from the withheld part
 	}
 	switch {
 	case !l.config.Strict:
@@ -156,8 +156,9 @@
 	}
 }
 
-// removeAcknowledgedMessages removes the messages that the peer acknowledges from the unacknowledged messages. It subtracts their units from
-// the levels of the snapshots.
+// removeAcknowledgedMessages applies the acknowledgement in a message m from a peer. It removes the messages that the peer has now
+// acknowledged from p.unacked. For each delta of a removed message, it subtracts the units from the level of the last snapshot that the
+// peer sent, because the peer's bucket no longer holds them.
 func (l *Limiter) removeAcknowledgedMessages(p *peer, m *Message) {
 	kept := p.unacked[:0]
 	for _, u := range p.unacked {
@@ -177,8 +178,8 @@
 	p.unacked = kept
 }
 
-// applySnapshots applies the snapshots of a message. It applies the grants at most once, and the levels unless a later version has
-// arrived before.
+// applySnapshots applies the snapshots in a message from a peer. It applies the grants only if the message is newer than all messages
+// whose grants were applied. It applies the level of a snapshot only if no newer snapshot of the account has arrived.
 func (l *Limiter) applySnapshots(p *peer, m *Message) {
 	takeGrants := m.Version > p.grantVersion
 	p.grantVersion = max(p.grantVersion, m.Version)
@@ -198,9 +199,9 @@
 	}
 }
 
-// applyGrant adds the units that a snapshot grants. Without strict mode these are units of the hard limit. In strict mode these are
-// units of the bucket. They are ignored shortly after a pause of this process, because the message may be old and the grant may have
-// expired.
+// applyGrant adds the units that a snapshot grants. Without strict mode, the grant has units of the hard limit. In strict mode, the
+// grant has units of the bucket. Shortly after a pause of this process, units of the bucket are ignored, because the message may be old
+// and the grant may have expired.
 func (l *Limiter) applyGrant(a *Account, s Snapshot) {
 	if a.limit.HardRate > 0 && a.inSet {
 		a.hardShare = min(l.hardShareCap(a), l.refillHardShare(a)+s.Grant)
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// refillBucket adds the refill since the last call to an owned bucket, up to the burst.
+// refillBucket adds the refill since the last call to a bucket that this gateway owns. The level rises to the burst at most.
 func (l *Limiter) refillBucket(a *Account) {
 	if l.now >= a.levelAt {
 		a.level = min(a.limit.Burst, a.level+l.refillAmount(a, l.now-a.levelAt))
@@ -10,13 +10,15 @@
 	}
 }
 
-// refillAmount returns the number of units by which an owned bucket is refilled for a period. Without strict mode the refill is the
-// whole rate. In strict mode the refill consists of the parts of the rate that belong to reachable gateways.
+// refillAmount returns the number of units by which a bucket that this gateway owns is refilled for a period. Without strict mode, the
+// bucket is refilled at the whole rate. In strict mode, each gateway has an equal part of the rate, and the bucket is refilled with the
+// parts of the reachable gateways.
 //
-// An unreachable gateway consumes its part without asking the owner. A gateway that has sent reports and then no more messages may do
-// the same. The part of such a gateway is withheld until a message from the gateway arrives. Then the part is released, less the
-// units that the gateway consumed. After reporterLostAfter, the host has found every lost gateway unreachable. A silent gateway that
-// is still reachable by then had nothing to report, and its part is released.
+// An unreachable gateway may consume its part without asking the owner. So may a gateway that has sent reports and then no more messages.
+// The parts of these gateways are withheld, which means that they are kept out of the bucket. When a message from such a gateway
+// arrives, the withheld part is released, less the units that the gateway consumed. After reporterLostAfter, the host has found every
+// lost gateway unreachable. A gateway that has sent no message for that time but is still reachable had nothing to report, so its
+// withheld part is released.
 func (l *Limiter) refillAmount(a *Account, period time.Duration) float64 {
 	if !l.config.Strict {
 		return a.limit.Rate * period.Seconds()
@@ -27,7 +29,7 @@
 		unreachable := l.peers[r.from].unreachableSince > 0
 		mayBeIsolated := (r.inFlight > 0 || silentFor > reporterQuietAfter) && silentFor < reporterLostAfter && l.withholdsEarly(a)
 		switch {
-		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // its last message is newer than the host's information
+		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // a message has just arrived, so the host's finding is outdated
 			reachable++
 		case unreachable: // effectiveReachableCount leaves this gateway out
 			r.withheld += part
@@ -41,8 +43,9 @@
 	return part * float64(max(1, reachable))
 }
 
-// withholdsEarly reports whether parts of the rate are withheld for gateways whose messages have just stopped. At a small rate, such
-// a part is negligible for so short a time, and withholding the part would only delay the customer.
+// withholdsEarly reports whether parts of the rate are withheld from the time at which the messages of a gateway stop, before the host
+// finds the gateway unreachable. At a small rate, the part for so short a time is negligible, and withholding it would only delay the
+// customer.
 func (l *Limiter) withholdsEarly(a *Account) bool {
 	return a.limit.Rate >= minWithholdRate*float64(l.gatewayCount)
 }
--- a/control/quota/send.go
+++ b/control/quota/send.go
@@ -3,7 +3,8 @@
 import "clovergap/control"
 
 // requestSnapshot schedules a report of an account to the owner, because the owner answers each report with a snapshot. The report
-// may have 0 units. While the answer to an earlier report may still arrive, requestSnapshot schedules no other report.
+// may have 0 units. requestSnapshot schedules no other report while the answer to an earlier report may still arrive in time
+// (answerTimeout).
 func (l *Limiter) requestSnapshot(a *Account) {
 	if a.snapshotRequestedAt == 0 {
 		a.snapshotRequestedAt = l.now
@@ -36,7 +37,7 @@
 	}
 }
 
-// schedulePeer queues a peer for the next datagrams. It does nothing if datagrams to peers are disabled.
+// schedulePeer queues a peer, so that NextDatagram creates a message to the peer. It does nothing if datagrams to peers are disabled.
 func (l *Limiter) schedulePeer(p *peer) {
 	if !p.queued && l.options.PeersEnabled {
 		p.queued = true
@@ -68,8 +69,8 @@
 	return 0, nil, false
 }
 
-// newMessage creates a message with the deltas that are due. The message contains either unacknowledged deltas, which are sent again
-// under their sequence number, or new deltas.
+// newMessage creates a message to a peer with the deltas that are due. The deltas are either unacknowledged deltas, which are sent again
+// with their former sequence number, or new deltas. If no deltas are due, the sequence number is 0.
 func (l *Limiter) newMessage(p *peer) *Message {
 	m := &Message{Epoch: l.epoch, Interval: l.interval, Age: l.now - l.startedAt,
 		AckEpoch: p.epoch, AckHigh: p.appliedHigh, AckMask: p.appliedMask}
@@ -85,8 +86,8 @@
 	return m
 }
 
-// packDeltas moves queued reports into the message until the part of the message for deltas is full. The oldest reports come first,
-// so that no account waits forever.
+// packDeltas takes accounts from the report queue and adds a delta for each account to the message. It stops when the part of the
+// message for deltas (deltaEighths) is full. The accounts that were queued first come first, so that no account waits forever.
 func (l *Limiter) packDeltas(p *peer, m *Message) {
 	p.lastSeq++
 	m.Seq = p.lastSeq
@@ -113,7 +114,8 @@
 	p.unacked = append(p.unacked, &unackedMessage{seq: m.Seq, sentAt: l.now, firstSentAt: l.now, deltas: m.Deltas, allowanceUnits: allowance})
 }
 
-// refreshInFlight updates the field InFlight of deltas that are sent again in strict mode. All other fields keep their values.
+// refreshInFlight updates the field InFlight of deltas that are sent again, and returns the deltas. All other fields keep their values.
+// Without strict mode, InFlight also keeps its value.
 func (l *Limiter) refreshInFlight(deltas []Delta) []Delta {
 	for i := range deltas {
 		if a := l.accounts[deltas[i].Customer]; l.config.Strict && a != nil {
@@ -150,9 +152,9 @@
 	}
 }
 
-// snapshotFor returns the snapshot of an owned account for one reporter. Its level is the level of the bucket less the units that are
-// reserved or promised to others. Its grant is the number of units that are set aside for the reporter in strict mode. Without strict
-// mode, the grant comes from the pool of the hard limit.
+// snapshotFor returns the snapshot for one reporter of an account that this gateway owns. The snapshot's level is the level of the bucket
+// less the units that are reserved at this gateway or promised to other gateways. In strict mode, the snapshot's grant is the number of
+// units that are now set aside for the reporter. Without strict mode, the grant comes from the pool of the hard limit.
 func (l *Limiter) snapshotFor(p *peer, a *Account) Snapshot {
 	l.refillBucket(a)
 	others, inFlight, promised := l.recentReporterTotals(a, p)
@@ -173,8 +175,8 @@
 	return Snapshot{Customer: a.id, Level: left, Reporters: others + 1, InFlightElsewhere: inFlight + a.inFlight, Grant: grant}
 }
 
-// attachObservations adds the host's latest observations to a message. It adds all observations that are new to the peer, or none if
-// not all of them fit.
+// attachObservations adds the host's latest observations of backends to a message. It adds all observations that have not been sent to
+// the peer yet. If the message has too little space for all of these observations, it adds none.
 func (l *Limiter) attachObservations(p *peer, m *Message) {
 	if l.options.LastObservations == nil {
 		return
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -4,19 +4,20 @@
 
 // A constant whose name contains Share is a fraction of 1.
 const (
-	// stallThreshold is the time between two calls of Now from which on this process counts as paused. Missing messages during a
-	// pause prove nothing about the peers.
+	// stallThreshold is the time between two calls of Now from which on this process counts as paused. A pause explains why
+	// messages from peers are missing, so such messages are not attributed to the peers.
 	stallThreshold = 250 * time.Millisecond
 
 	// datagramShare is the share of Config.DatagramsPerSecond that this gateway lets its peers use.
 	datagramShare = 0.7
 	// maxInterval is the longest interval between datagrams that peers are asked to keep.
 	maxInterval = 2 * time.Second
-	// intervalDecay is the smallest factor by which the requested interval changes from one second to the next.
+	// intervalDecay is the smallest factor by which the interval that peers are asked to keep changes from one sweep to the next.
 	intervalDecay = 0.5
 	// deltaEighths is the part of a message, in eighths, that may be filled with deltas. The rest is kept for snapshots.
 	deltaEighths = 4
-	// resendAfter plus the peer's interval is the time after which an unacknowledged delta is sent again. It doubles with each attempt.
+	// resendAfter plus the peer's interval is the time after which an unacknowledged delta is sent again. This time doubles each time that
+	// the delta is sent again.
 	resendAfter = 120 * time.Millisecond
 	// maxResendDoublings is the maximum number of doublings of resendAfter plus the peer's interval.
 	maxResendDoublings = 3
@@ -26,21 +27,22 @@
 	// ownerAttempts is the number of answer time-outs (snapshotTimeout plus both intervals) after which an owner counts as
 	// unresponsive. One time-out is not enough, because a report or its answer may get lost.
 	ownerAttempts = 2
-	// snapshotTimeoutShare is the share of the SLA time for which a request waits for an owner's answer at most.
+	// snapshotTimeoutShare is the maximum share of a request's SLA time for which the request waits for an owner's answer.
 	snapshotTimeoutShare = 0.4
-	// unitTimeoutShare is the share of the SLA time for which a request waits for units or for a free slot at most.
+	// unitTimeoutShare is the maximum share of a request's SLA time for which the request waits for units or for a free slot.
 	unitTimeoutShare = 0.3
 	// retryReserveShare is the share of the burst that a late retry must leave in the bucket.
 	retryReserveShare = 0.5
-	// lowLevelFactor times the remaining level, divided by the number of recent reporters, is the burst share of a low bucket.
+	// lowLevelFactor times the level of a snapshot, divided by the number of recent reporters, is the burst share if the level is low.
 	lowLevelFactor = 2.0
 
 	// reporterTTL is the time for which a report makes its sender a recent reporter.
 	reporterTTL = 2 * time.Second
-	// peerLostAfter is the time without an answer after which a peer counts as lost. Lost peers get no part of the rate of a customer
-	// whose owner is unresponsive.
+	// peerLostAfter is the time after which a peer counts as lost if it has neither acknowledged a delta nor sent any datagram. Lost
+	// peers get no part of the rate of a customer whose owner is unresponsive.
 	peerLostAfter = 1500 * time.Millisecond
-	// removedTTL is the time for which a customer that is no longer metered is remembered. Deltas for it are still acknowledged.
+	// removedTTL is the time for which a customer that is no longer metered is remembered. During this time, deltas for the customer are
+	// still acknowledged.
 	removedTTL = time.Minute
 	// idleAfter is the time without a request after which an account with a full bucket is removed.
 	idleAfter = 10 * time.Second
@@ -58,33 +60,36 @@
 // Constants of strict mode. The bound in the package comment is proved for these values. TestBoundHoldsInAnyPartition fails for
 // looser values.
 const (
-	// allowanceBurstShare is the share of a gateway's allowance that is available at once. The rest of the allowance is added over
-	// Config.Window.
+	// allowanceBurstShare is the share of a gateway's part of the allowance that can be saved up. The rest of the part is added evenly
+	// over Config.Window.
 	allowanceBurstShare = 0.5
-	// maxDebtTime times the rate is the largest debt of a bucket that results from use without the owner's knowledge.
+	// maxDebtTime times the rate is the largest number of units by which consumption without the owner's knowledge may lower a bucket's
+	// level below 0.
 	maxDebtTime = 1 * time.Second
 	// maxInitialFillTime times the rate is the maximum level of a bucket at the start of a new cluster.
 	maxInitialFillTime = 500 * time.Millisecond
 
 	// grantTTL is the time for which granted units may be consumed.
 	grantTTL = 1 * time.Second
-	// grantMaxAge is the time for which the owner keeps granted units set aside. It is a window longer than grantTTL, because the
-	// units may have been consumed within the window.
+	// grantMaxAge is the time for which the owner keeps granted units set aside. It is longer than grantTTL by the 5 s of Config.Window,
+	// because the units may have been consumed at any time within the last window.
 	grantMaxAge = 6 * time.Second
-	// grantDivisor limits a grant beyond the requested units to the level divided by grantDivisor times the number of gateways.
+	// grantDivisor limits a grant. A grant has the larger of two numbers of units: the requested units, and the units left divided by
+	// grantDivisor and by the number of gateways.
 	grantDivisor = 4.0
 
 	// reporterQuietAfter is the time without a message after which a recent reporter's part of the rate is withheld.
 	reporterQuietAfter = 250 * time.Millisecond
-	// reporterLostAfter is the time without a message after which the host has found a lost reporter unreachable at the latest. The
-	// host finds the reporter unreachable 2.9 s after the reporter's next report, which is due within 1 s.
+	// reporterLostAfter is the time since the last message of a lost reporter by which the host has found the reporter unreachable. The
+	// reporter's next report would be due within 1 s, and the host finds the reporter unreachable at most 2.9 s later.
 	reporterLostAfter = 4200 * time.Millisecond
-	// recentReportAge limits the age of the last acknowledged report at the time from which the owner sends no more messages. An
-	// owner that acknowledged a newer report withholds the reporter's part.
+	// recentReportAge is the maximum time from the last acknowledged report to the first report or snapshot request without an answer. If
+	// the time was shorter, the owner received a report shortly before it became unresponsive, so it withholds the reporter's part.
 	recentReportAge = 1 * time.Second
 	// minWithholdRate is the minimum rate of a customer, in units a second for each gateway. At a lower rate, no part is withheld
 	// before a host finds a gateway unreachable.
 	minWithholdRate = 0.5
-	// reachabilityLag is the longest delay between the views that two gateways have of their reachability.
+	// reachabilityLag is the longest time by which one gateway learns later than another gateway that the two can or cannot reach each
+	// other.
 	reachabilityLag = 1 * time.Second
 )
--- a/control/types.go
+++ b/control/types.go
@@ -12,11 +12,11 @@
 // CustomerID identifies a customer, to whom a quota belongs. In the gateway, a customer is a tenant.
 type CustomerID uint64
 
-// GatewayID identifies one process that meters customers. The ID is the index of a front door among its peers or the slot of a
-// gateway node. Both are counted from 0. The package comment defines both programs.
+// GatewayID identifies one process that meters customers. In the front door, it is the index of the process among all front doors. In the
+// gateway, it is the slot number of the node in its cluster. Both numbers count from 0. The package comment defines both programs.
 type GatewayID int
 
-// ProductID identifies a kind of request. This is a product in the front door and a route in the gateway.
+// ProductID identifies a kind of request. The kind is a product in the front door and a route in the gateway.
 type ProductID int
 
 // PlanID identifies the contract terms of a customer, such as the limits and the price. In the gateway, a PlanID is the priority of a
@@ -39,13 +39,13 @@
 	Product  ProductID
 	Plan     PlanID
 	Units    float64       // units of the customer's quota that the txn consumes
-	Expiry   time.Duration // deadline for the answer, on the host's clock
-	SetFirst GatewayID     // first gateway of the set that serves the customer
-	SetWidth int           // number of gateways in that set
-	Retry    bool          // whether the client has sent the request before
+	Expiry   time.Duration // time on the host's clock by which the client must have an answer
+	SetFirst GatewayID     // first gateway of the set; the set is the gateways that may serve the customer
+	SetWidth int           // number of gateways in the set
+	Retry    bool          // true if the client has sent the request before
 }
 
-// Endpoint is one entry of the backend list.
+// Endpoint is one entry of the backend list, which is the list of backends that the host knows.
 type Endpoint struct {
 	ID           BackendID
 	Zone         ZoneID
