--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against too many or too few retries of an inquiry-like txn. After each kind of failure, the txn is retried until it has had
-// max_submissions submissions. Then it is rejected.
+// three submissions, which is the setting limits.max_submissions. Then the txn is rejected.
 func Example_failedSubmissionsAreRetried() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
@@ -23,41 +23,41 @@
 		if s.controller.txns[control.TxnID(id)] != nil {
 			s.endSubmission(control.TxnID(id), e)
 		}
-		s.controller.ClientLeft(control.TxnID(id)) // a call for a txn that is already removed has no effect
+		s.controller.ClientLeft(control.TxnID(id)) // if the txn is already removed, the call has no effect
 		s.printDecisions()
 	}
 	// Output:
 	// # txn 0 is inquiry-like, each submission ends with the control.Ending number 0
-	// 10000 ms: submit txn 0 to backend 1, after 446 ms
+	// 10000 ms: submit txn 0 to backend 1, Decision.After=446 ms
 	// # txn 1 is inquiry-like, each submission ends with the control.Ending number 1
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// 10000 ms: submit txn 1 to backend 3, after 496 ms
-	// 10000 ms: submit txn 1 to backend 2, after 496 ms
-	// 10000 ms: reject txn 1, after 2000 ms
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 1 to backend 3, Decision.After=496 ms
+	// 10000 ms: submit txn 1 to backend 2, Decision.After=496 ms
+	// 10000 ms: reject txn 1, Decision.After=2000 ms
 	// # txn 2 is inquiry-like, each submission ends with the control.Ending number 2
-	// 10000 ms: submit txn 2 to backend 3, after 446 ms
-	// 10000 ms: submit txn 2 to backend 2, after 496 ms
-	// 10000 ms: submit txn 2 to backend 1, after 496 ms
-	// 10000 ms: reject txn 2, after 2000 ms
+	// 10000 ms: submit txn 2 to backend 3, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 2, Decision.After=496 ms
+	// 10000 ms: submit txn 2 to backend 1, Decision.After=496 ms
+	// 10000 ms: reject txn 2, Decision.After=2000 ms
 	// # txn 3 is inquiry-like, each submission ends with the control.Ending number 3
-	// 10000 ms: submit txn 3 to backend 1, after 446 ms
-	// 10000 ms: submit txn 3 to backend 1, after 496 ms
-	// 10000 ms: submit txn 3 to backend 1, after 496 ms
-	// 10000 ms: reject txn 3, after 2000 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=496 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=496 ms
+	// 10000 ms: reject txn 3, Decision.After=2000 ms
 	// # txn 4 is inquiry-like, each submission ends with the control.Ending number 4
-	// 10000 ms: submit txn 4 to backend 1, after 446 ms
-	// 10000 ms: submit txn 4 to backend 2, after 496 ms
-	// 10000 ms: submit txn 4 to backend 3, after 496 ms
-	// 10000 ms: reject txn 4, after 2000 ms
+	// 10000 ms: submit txn 4 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 4 to backend 2, Decision.After=496 ms
+	// 10000 ms: submit txn 4 to backend 3, Decision.After=496 ms
+	// 10000 ms: reject txn 4, Decision.After=2000 ms
 	// # txn 5 is inquiry-like, each submission ends with the control.Ending number 5
-	// 10000 ms: submit txn 5 to backend 1, after 446 ms
-	// 10000 ms: submit txn 5 to backend 1, after 496 ms
-	// 10000 ms: submit txn 5 to backend 1, after 496 ms
-	// 10000 ms: reject txn 5, after 2000 ms
+	// 10000 ms: submit txn 5 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 5 to backend 1, Decision.After=496 ms
+	// 10000 ms: submit txn 5 to backend 1, Decision.After=496 ms
+	// 10000 ms: reject txn 5, Decision.After=2000 ms
 }
 
-// Guards against a txn without an answer at its expiry. A once-only txn in flight is failed and canceled expiryMargin before its
-// expiry. Its state is removed when its submission has ended.
+// Guards against a txn that has no answer at its expiry. A once-only txn with a submission in flight is failed expiryMargin before its
+// expiry, and the submission is canceled. The state of the txn is removed when the submission has ended.
 func Example_txnIsFailedBeforeExpiry() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 2, 0)
@@ -65,15 +65,15 @@
 	s.advanceTo(11998)
 	s.controller.SubmissionEnded(1, 0, 1, control.TimedOut, false, 0, nil) // the outcome of the submission comes after the answer
 	s.advanceTo(12100)
-	fmt.Println(len(s.controller.txns), "txns remain")
+	fmt.Println(len(s.controller.txns), "txns are kept by the controller")
 	// Output:
 	// 10000 ms: submit txn 1 to backend 1
 	// 11998 ms: fail txn 1
 	// 11998 ms: cancel txn 1 attempt 0
-	// 0 txns remain
+	// 0 txns are kept by the controller
 }
 
-// Guards against a once-only txn that runs twice. It is retried only if its submission provably did not run.
+// Guards against a once-only txn that runs twice. Such a txn is retried only if its submission provably did not run.
 func Example_onceOnlyIsRetriedOnlyIfNotRun() {
 	s := newWarmScenario()
 	fmt.Println("# the submission provably did not run: the txn is retried at another backend, then rejected")
@@ -89,13 +89,14 @@
 	// 10000 ms: submit txn 1 to backend 1
 	// 10000 ms: submit txn 1 to backend 3
 	// 10000 ms: submit txn 1 to backend 1
-	// 10000 ms: reject txn 1, after 2000 ms
+	// 10000 ms: reject txn 1, Decision.After=2000 ms
 	// # the submission may have run: the txn is failed at once
 	// 10000 ms: submit txn 2 to backend 2
 	// 10000 ms: fail txn 2
 }
 
-// Guards against a referenced txn that runs twice. It is retried only within its pod and its window.
+// Guards against a referenced txn that runs twice. Such a txn is retried only within the repeat window of its product. If the repeat
+// scope of the product is a pod, the txn is also retried only in the pod of the first submission that may have run.
 func Example_referencedIsRetriedInScopeAndWindow() {
 	s := newWarmScenario()
 	fmt.Println("# retries stay in the pod of the first submission that may have run")
@@ -113,17 +114,17 @@
 	s.endSubmission(3, control.ConnectionLost)
 	// Output:
 	// # retries stay in the pod of the first submission that may have run
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// 10000 ms: submit txn 1 to backend 2, after 496 ms
-	// 10000 ms: submit txn 1 to backend 1, after 496 ms
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 1 to backend 2, Decision.After=496 ms
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=496 ms
 	// # after its window, the txn is failed
-	// 10000 ms: submit txn 2 to backend 1, after 446 ms
+	// 10000 ms: submit txn 2 to backend 1, Decision.After=446 ms
 	// 10000 ms: fail txn 2
 	// # the product allows repeats at all backends: the txn is rejected after its last submission
-	// 10000 ms: submit txn 3 to backend 1, after 446 ms
-	// 10000 ms: submit txn 3 to backend 3, after 496 ms
-	// 10000 ms: submit txn 3 to backend 1, after 496 ms
-	// 10000 ms: reject txn 3, after 2000 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 3 to backend 3, Decision.After=496 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=496 ms
+	// 10000 ms: reject txn 3, Decision.After=2000 ms
 }
 
 // Guards against submissions to backends that are draining or gone.
@@ -137,15 +138,15 @@
 	s.addTxn(9, customerOwnedBy(0), 0, 0)
 	s.advanceTo(10200)
 	// Output:
-	// 10000 ms: submit txn 1 to backend 3, after 446 ms
-	// 10000 ms: submit txn 2 to backend 3, after 446 ms
-	// 10000 ms: submit txn 3 to backend 3, after 446 ms
-	// 10000 ms: submit txn 4 to backend 3, after 446 ms
+	// 10000 ms: submit txn 1 to backend 3, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 3, Decision.After=446 ms
+	// 10000 ms: submit txn 3 to backend 3, Decision.After=446 ms
+	// 10000 ms: submit txn 4 to backend 3, Decision.After=446 ms
 	// 10200 ms: reject txn 9
 }
 
-// countSubmissionsTo returns the number of submissions to a backend from one time to another, both in milliseconds. A txn of product
-// 0 arrives every 10 ms.
+// countSubmissionsTo runs the scenario from fromMillis to toMillis and returns the number of submissions to a backend in this time. A txn
+// of product 0 arrives every 10 ms. Each submission succeeds.
 func (s *scenario) countSubmissionsTo(backendID control.BackendID, fromMillis, toMillis int) (n int) {
 	for at := fromMillis; at < toMillis; at += 10 {
 		s.controller.Now(time.Millisecond * time.Duration(at))
@@ -166,30 +167,30 @@
 func Example_warmUpBudgetLimitsSubmissions() {
 	s := newWarmScenario()
 	s.changeEndpoints(false, control.Endpoint{ID: 1, State: control.Ready, Started: 9900 * time.Millisecond})
-	fmt.Println("two backends are warm and one is warming up:")
+	fmt.Println("two backends are warm, and backend 1 is warming up:")
 	for at := 10000; at < 14000; at += 1000 {
 		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
 	s = newScenario(defaultTestSettings(0), 0)
 	s.advanceTo(20000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready, Started: 19900 * time.Millisecond})
-	fmt.Println("the only backend is warming up, so the rate of a warm backend is unknown:")
+	fmt.Println("backend 1 is the only backend and is warming up, so the rate of a warm backend is unknown:")
 	for at := 20000; at < 23000; at += 1000 {
 		fmt.Println(" submissions in one second to the backend that is warming up:", s.countSubmissionsTo(1, at, at+1000))
 	}
 	// Output:
-	// two backends are warm and one is warming up:
+	// two backends are warm, and backend 1 is warming up:
 	//  submissions in one second to the backend that is warming up: 4
 	//  submissions in one second to the backend that is warming up: 8
 	//  submissions in one second to the backend that is warming up: 9
 	//  submissions in one second to the backend that is warming up: 13
-	// the only backend is warming up, so the rate of a warm backend is unknown:
+	// backend 1 is the only backend and is warming up, so the rate of a warm backend is unknown:
 	//  submissions in one second to the backend that is warming up: 1
 	//  submissions in one second to the backend that is warming up: 3
 	//  submissions in one second to the backend that is warming up: 6
 }
 
-// Guards against a front door that grants units of the hard limit again after a restart.
+// Guards against a front door that admits or grants the same units of the hard limit again after a restart.
 func Example_hardLimitIsKeptAcrossRestart() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
@@ -197,33 +198,33 @@
 	s.advanceTo(10000)
 	s.controller.capacity = 100
 	c := customerOwnedBy(0)
-	fmt.Println("# the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left")
+	fmt.Println("# the owner's share of the hard limit, with the owner's pool, has two thirds of the burst, so 13 of the 16 txns are submitted")
 	for id := control.TxnID(1); id <= 16; id++ {
 		s.addTxn(id, c, 0, 1)
 	}
 	s = newScenario(defaultTestSettings(0), 10000)
 	s.hideDatagrams = true
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready}, control.Endpoint{ID: 2, State: control.Ready})
-	fmt.Println("# after the restart, the owner's share and its pool are empty in the new epoch")
+	fmt.Println("# after a restart of the owner, its share and its pool are empty, so a txn waits for the refill")
 	s.addTxn(1, c, 0, 1)
 	s.advanceTo(10200)
 	// Output:
-	// # the owner's share of the hard limit and its pool hold two thirds of the burst, and after these units only the refill is left
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// 10000 ms: submit txn 2 to backend 1, after 446 ms
-	// 10000 ms: submit txn 3 to backend 1, after 446 ms
-	// 10000 ms: submit txn 4 to backend 1, after 446 ms
-	// 10000 ms: submit txn 5 to backend 1, after 446 ms
-	// 10000 ms: submit txn 6 to backend 1, after 446 ms
-	// 10000 ms: submit txn 7 to backend 1, after 446 ms
-	// 10000 ms: submit txn 8 to backend 1, after 446 ms
-	// 10000 ms: submit txn 9 to backend 1, after 446 ms
-	// 10000 ms: submit txn 10 to backend 1, after 446 ms
-	// 10000 ms: submit txn 11 to backend 1, after 446 ms
-	// 10000 ms: submit txn 12 to backend 1, after 446 ms
-	// 10000 ms: submit txn 13 to backend 1, after 446 ms
-	// # after the restart, the owner's share and its pool are empty in the new epoch
-	// 10100 ms: submit txn 1 to backend 1, after 356 ms
+	// # the owner's share of the hard limit, with the owner's pool, has two thirds of the burst, so 13 of the 16 txns are submitted
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 4 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 5 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 6 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 7 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 8 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 9 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 10 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 11 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 12 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 13 to backend 1, Decision.After=446 ms
+	// # after a restart of the owner, its share and its pool are empty, so a txn waits for the refill
+	// 10100 ms: submit txn 1 to backend 1, Decision.After=356 ms
 }
 
 // Guards against an owner that grants units again after a restart, and against an owner that applies messages of a peer's former
@@ -231,11 +232,11 @@
 func Example_ownerRestartEmptiesBucket() {
 	s := newScenario(defaultTestSettings(0), 5000)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
-	fmt.Println("# the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit")
+	fmt.Println("# the bucket of a restarted owner starts empty and refills at the rate, so a txn waits until the bucket has one unit")
 	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	s.advanceTo(5100)
 	s.advanceTo(5120)
-	fmt.Println("# a message of the former epoch of a peer is dropped once the new epoch is known")
+	fmt.Println("# a peer restarts: after a message of the peer's new epoch, a message of its former epoch is dropped and not acknowledged")
 	c := customerOwnedBy(0)
 	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 5, Deltas: []quota.Delta{{Customer: c, SetWidth: 3}}})
 	s.advanceTo(5200)
@@ -244,14 +245,14 @@
 	s.receiveMessage(1, &quota.Message{Epoch: 7, Seq: 6, Deltas: []quota.Delta{{Customer: c, Units: 9, SetWidth: 3}}})
 	s.advanceTo(5400)
 	// Output:
-	// # the bucket of an owner starts empty and refills at the rate, so a txn waits for its unit
-	//  5100 ms: submit txn 1 to backend 1, after 356 ms
-	// # a message of the former epoch of a peer is dropped once the new epoch is known
+	// # the bucket of a restarted owner starts empty and refills at the rate, so a txn waits until the bucket has one unit
+	//  5100 ms: submit txn 1 to backend 1, Decision.After=356 ms
+	// # a peer restarts: after a message of the peer's new epoch, a message of its former epoch is dropped and not acknowledged
 	//  5120 ms: datagram to gateway 1: snapshot level=0.1875 reporters=2 ack=5
 	//  5200 ms: datagram to gateway 1: snapshot level=1 reporters=2 ack=1
 }
 
-// Guards against consumed units that are lost or counted twice when datagrams arrive out of order or repeatedly.
+// Guards against consumed units that are lost or counted twice. Datagrams with deltas arrive out of order and repeatedly.
 func Example_deltasAreAppliedOnce() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.advanceTo(10000)
@@ -260,7 +261,7 @@
 	second := &quota.Message{Epoch: 7, Seq: 2, Deltas: []quota.Delta{{Customer: c, Units: 5, SetWidth: 3}}}
 	fmt.Println("# deltas arrive out of order and repeatedly: each delta is applied once")
 	s.receiveMessage(1, second)
-	s.controller.sweptAt = 20 * time.Second // no sweep, which would refill the bucket
+	s.controller.sweptAt = 20 * time.Second // no sweep runs in this example, so the bucket is refilled only when a message arrives
 	s.advanceTo(10100)
 	s.receiveMessage(1, first)
 	s.advanceTo(10200)
@@ -278,20 +279,21 @@
 	// dropped datagrams: 1
 }
 
-// Guards against a front door that consumes more than its burst share and the owner's snapshots allow. Datagrams are lost, and
-// snapshots arrive late or expire.
+// Guards against a front door that consumes more units than its burst share and the owner's snapshots allow. The burst share is the
+// number of units that a front door may consume before the owner acknowledges them. Datagrams are lost, and snapshots arrive late or
+// expire.
 func Example_snapshotsLimitConsumption() {
 	s := newWarmScenario()
 	s.hideDatagrams, s.controller.capacity = false, 5
 	c := customerOwnedBy(1)
-	fmt.Println("# new customer: txns use the burst share while the owner is asked")
+	fmt.Println("# new customer: six txns are submitted against the burst share while the front door waits for a snapshot of the owner")
 	for id := control.TxnID(1); id < 9; id++ {
 		s.addTxn(id, c, 0, 0)
 	}
 	s.advanceTo(10050)
-	fmt.Println("# a datagram is lost: its delta is sent again with the same sequence number")
+	fmt.Println("# no acknowledgement arrives: each delta is sent again with its former sequence number")
 	s.advanceTo(10200)
-	fmt.Println("# the snapshot acknowledges the first two deltas and leaves four units, of which two were used since")
+	fmt.Println("# a snapshot of level 4 arrives with the acknowledgement of the first two deltas: txn 11 is submitted")
 	newSnapshot := func(version uint64, left float64) *quota.Message {
 		return &quota.Message{Epoch: 9, Version: version, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3,
 			Snapshots: []quota.Snapshot{{Customer: c, Level: left, Reporters: 1}}}
@@ -303,35 +305,35 @@
 	s.addTxn(12, c, 0, 0)
 	s.addTxn(13, c, 0, 0)
 	s.advanceTo(10500)
-	fmt.Println("# the snapshot has expired: only the burst share is left, and the owner is asked again")
+	fmt.Println("# the snapshot has expired: a txn is submitted against the burst share, and a delta requests a new snapshot")
 	s.advanceTo(11900)
 	s.addTxn(14, c, 0, 0)
 	// Output:
-	// # new customer: txns use the burst share while the owner is asked
-	// 10000 ms: submit txn 1 to backend 2, after 446 ms
+	// # new customer: six txns are submitted against the burst share while the front door waits for a snapshot of the owner
+	// 10000 ms: submit txn 1 to backend 2, Decision.After=446 ms
 	// 10000 ms: datagram to gateway 1: delta seq=1 units=1
-	// 10000 ms: submit txn 2 to backend 2, after 446 ms
-	// 10000 ms: submit txn 3 to backend 2, after 446 ms
-	// 10000 ms: submit txn 4 to backend 2, after 446 ms
-	// 10000 ms: submit txn 5 to backend 2, after 446 ms
-	// 10000 ms: submit txn 6 to backend 2, after 446 ms
+	// 10000 ms: submit txn 2 to backend 2, Decision.After=446 ms
+	// 10000 ms: submit txn 3 to backend 2, Decision.After=446 ms
+	// 10000 ms: submit txn 4 to backend 2, Decision.After=446 ms
+	// 10000 ms: submit txn 5 to backend 2, Decision.After=446 ms
+	// 10000 ms: submit txn 6 to backend 2, Decision.After=446 ms
 	// 10050 ms: datagram to gateway 1: delta seq=2 units=5
-	// # a datagram is lost: its delta is sent again with the same sequence number
+	// # no acknowledgement arrives: each delta is sent again with its former sequence number
 	// 10150 ms: datagram to gateway 1: delta seq=1 units=1
-	// 10200 ms: reject txn 7, after 100 ms
-	// 10200 ms: reject txn 8, after 100 ms
+	// 10200 ms: reject txn 7, Decision.After=100 ms
+	// 10200 ms: reject txn 8, Decision.After=100 ms
 	// 10200 ms: datagram to gateway 1: delta seq=2 units=5
-	// # the snapshot acknowledges the first two deltas and leaves four units, of which two were used since
-	// 10200 ms: submit txn 11 to backend 2, after 446 ms
+	// # a snapshot of level 4 arrives with the acknowledgement of the first two deltas: txn 11 is submitted
+	// 10200 ms: submit txn 11 to backend 2, Decision.After=446 ms
 	// # an older snapshot that arrives late restores no units
-	// 10200 ms: submit txn 12 to backend 3, after 446 ms
-	// 10200 ms: submit txn 13 to backend 3, after 446 ms
+	// 10200 ms: submit txn 12 to backend 3, Decision.After=446 ms
+	// 10200 ms: submit txn 13 to backend 3, Decision.After=446 ms
 	// 10250 ms: datagram to gateway 1: delta seq=3 units=3
 	// 10400 ms: datagram to gateway 1: delta seq=3 units=3
-	// # the snapshot has expired: only the burst share is left, and the owner is asked again
+	// # the snapshot has expired: a txn is submitted against the burst share, and a delta requests a new snapshot
 	// 10650 ms: datagram to gateway 1: delta seq=3 units=3
 	// 11150 ms: datagram to gateway 1: delta seq=3 units=3
-	// 11900 ms: submit txn 14 to backend 1, after 446 ms
+	// 11900 ms: submit txn 14 to backend 1, Decision.After=446 ms
 	// 11900 ms: datagram to gateway 1: delta seq=4 units=1
 }
 
@@ -339,7 +341,7 @@
 func Example_failingProductIsExcluded() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
-	fmt.Println("# product 0 fails at one backend, which is skipped for product 0 and still used for product 3")
+	fmt.Println("# product 0 fails at backend 1: after two failures, backend 1 gets no txns of product 0 and still gets txns of product 3")
 	first := control.BackendID(0)
 	for id := control.TxnID(1); id < 13; id++ {
 		p := control.ProductID(id % 2 * 3)
@@ -357,7 +359,7 @@
 		}
 	}
 	// Output:
-	// # product 0 fails at one backend, which is skipped for product 0 and still used for product 3
+	// # product 0 fails at backend 1: after two failures, backend 1 gets no txns of product 0 and still gets txns of product 3
 	// product 3 at backend 1: succeeded
 	// product 0 at backend 1: error
 	// product 0 at backend 3: succeeded
@@ -374,7 +376,7 @@
 	// product 0 at backend 3: succeeded
 }
 
-// Guards against one backend that lowers the capacity of all backends by rejecting every submission.
+// Guards against a lower capacity for all backends because one backend rejects submissions. Here all backends reject every submission.
 func Example_rejectionsKeepCapacity() {
 	s := newWarmScenario()
 	initial := s.controller.capacity
@@ -387,12 +389,13 @@
 		}
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
-	fmt.Println("capacity unchanged:", s.controller.capacity == initial, "- backoff of backend 1 increased:", s.controller.backends[1].consecutiveRejections > 1)
+	fmt.Println("capacity unchanged:", s.controller.capacity == initial,
+		"- backend 1 rejected two or more submissions in a row:", s.controller.backends[1].consecutiveRejections > 1)
 	// Output:
-	// capacity unchanged: true - backoff of backend 1 increased: true
+	// capacity unchanged: true - backend 1 rejected two or more submissions in a row: true
 }
 
-// Guards against retries that use up scarce capacity before first attempts do.
+// Guards against clients' retries that use up scarce capacity, so that first attempts find none.
 func Example_retriesYieldToFirstAttempts() {
 	s := newWarmScenario()
 	s.controller.capacity = 0.4
@@ -401,7 +404,7 @@
 			Expiry: s.controller.now + time.Second})
 		s.printDecisions()
 	}
-	fmt.Println("# no capacity is left: the retry is rejected at once with a retry delay")
+	fmt.Println("# txns 1 and 2 use all capacity: txn 3, which is a client's retry, is rejected at once with a retry delay")
 	addTxn(1, false)
 	addTxn(2, false)
 	addTxn(3, true)
@@ -409,10 +412,10 @@
 	s.endSubmission(1, control.Succeeded)
 	s.advanceTo(10500)
 	// Output:
-	// # no capacity is left: the retry is rejected at once with a retry delay
-	// 10000 ms: submit txn 1 to backend 3, after 446 ms
-	// 10000 ms: submit txn 2 to backend 2, after 446 ms
-	// 10000 ms: reject txn 3, after 2000 ms
+	// # txns 1 and 2 use all capacity: txn 3, which is a client's retry, is rejected at once with a retry delay
+	// 10000 ms: submit txn 1 to backend 3, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 2, Decision.After=446 ms
+	// 10000 ms: reject txn 3, Decision.After=2000 ms
 }
 
 // Guards against txns beyond the quota that use up capacity which other txns need.
@@ -422,26 +425,26 @@
 	c := customerOwnedBy(0)
 	s.drainBucket(c, 0)
 	s.controller.plans[0].Rate = 1
-	fmt.Println("# no units, spare capacity, no charge: the txn is submitted and consumes no units")
+	fmt.Println("# the bucket is empty, but there is spare capacity and no charge: txn 1 is submitted beyond the quota")
 	s.addTxn(1, c, 0, 0)
-	fmt.Println("# a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available")
+	fmt.Println("# a txn has just found no backend with capacity: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
 	s.controller.saturatedAt = s.controller.now
 	s.addTxn(2, c, 0, 0)
 	// Output:
-	// # no units, spare capacity, no charge: the txn is submitted and consumes no units
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// # a txn lacked capacity recently: the next txn is rejected, and its retry delay is the time until units are available
-	// 10000 ms: reject txn 2, after 1000 ms
+	// # the bucket is empty, but there is spare capacity and no charge: txn 1 is submitted beyond the quota
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// # a txn has just found no backend with capacity: txn 2 is rejected, and its retry delay is the time until the bucket has one unit
+	// 10000 ms: reject txn 2, Decision.After=1000 ms
 }
 
-// Guards against a txn that loses its units while it waits for a backend. The snapshot that covers the txn may be used for 150 ms,
-// which is less than the waiting time of the txn.
+// Guards against a txn that loses its units while it waits for a backend. The snapshot that covers the txn expires before a backend has
+// capacity, because the snapshot may be used for only 150 ms.
 func Example_unitsStayReservedWhileWaiting() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advanceTo(10000)
 	c := customerOwnedBy(1)
-	s.controller.plans[0].Burst = 2 // so small that a snapshot may be used only for the response time of the owner
+	s.controller.plans[0].Burst = 2 // so small that a snapshot may be used only for the time of one answer of the owner
 	s.controller.capacity = 0.3
 	s.addTxn(1, customerOwnedBy(0), 0, 0)
 	s.hideDatagrams = true
@@ -451,34 +454,34 @@
 		state, _ := s.controller.quota.AccountState(c)
 		return state.Reserved
 	}
-	fmt.Println("reserved units:", reservedUnits(), "- other txns may consume that much less of the snapshot")
+	fmt.Println("units reserved for txn 2 while it waits for a backend:", reservedUnits(), "- other txns cannot consume these units")
 	s.advanceTo(10170)
 	s.endSubmission(1, control.Succeeded)
 	s.advanceTo(10180)
-	fmt.Println("reserved units:", reservedUnits())
+	fmt.Println("units reserved for txn 2 after its submission:", reservedUnits())
 	// Output:
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// reserved units: 1 - other txns may consume that much less of the snapshot
-	// 10170 ms: submit txn 2 to backend 1, after 326 ms
-	// reserved units: 0
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// units reserved for txn 2 while it waits for a backend: 1 - other txns cannot consume these units
+	// 10170 ms: submit txn 2 to backend 1, Decision.After=326 ms
+	// units reserved for txn 2 after its submission: 0
 }
 
-// Guards against a retry that gets the full SLA time again. The time-out of a client starts at its first attempt, so the expiry of a
-// retry shows how long ago the first attempt was.
+// Guards against a client's retry that gets the full SLA time again. The time-out of a client starts at the client's first attempt. So
+// the expiry of a retry shows how long ago the first attempt was.
 func Example_retryUsesRemainingSLATime() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
 	addRetry := func(id control.TxnID, left time.Duration) {
-		s.drainBucket(c, 5) // 5 of 20 units are fewer than a late retry must leave
+		s.drainBucket(c, 5) // 5 of the burst of 20 units are left, and a late retry must leave half of the burst
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + left})
 		s.printDecisions()
 	}
-	fmt.Println("# no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns")
+	fmt.Println("# no first attempt has arrived, so the SLA time of retry 1 may be over: retry 1 is rejected, because the bucket is low")
 	addRetry(1, 1900*time.Millisecond)
 	s.addTxn(2, customerOwnedBy(0), 0, 0)
-	fmt.Println("# the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter")
+	fmt.Println("# the first attempt was 100 ms before retry 3: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter")
 	addRetry(3, 1900*time.Millisecond)
-	fmt.Println("# the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once")
+	fmt.Println("# the first attempt was 600 ms before retry 4: the SLA time of retry 4 is over, so retry 4 is rejected at once")
 	addRetry(4, 1400*time.Millisecond)
 	fmt.Println("# late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low")
 	s.controller.products[0].lateValue = 0.2
@@ -486,22 +489,23 @@
 	}
 	addRetry(5, 1400*time.Millisecond)
 	// Output:
-	// # no first attempt was seen: retry 1 may be late, so it is rejected and leaves the units of the low bucket to other txns
-	// 10000 ms: reject txn 1, after 600 ms
-	// 10000 ms: submit txn 2 to backend 1, after 446 ms
-	// # the first attempt was 100 ms ago: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter
-	// 10000 ms: submit txn 3 to backend 1, after 356 ms
-	// # the first attempt was 600 ms ago: the SLA time of retry 4 is over, so the retry is rejected at once
-	// 10000 ms: reject txn 4, after 2000 ms
+	// # no first attempt has arrived, so the SLA time of retry 1 may be over: retry 1 is rejected, because the bucket is low
+	// 10000 ms: reject txn 1, Decision.After=600 ms
+	// 10000 ms: submit txn 2 to backend 1, Decision.After=446 ms
+	// # the first attempt was 100 ms before retry 3: retry 3 is treated as a first attempt whose SLA time is 100 ms shorter
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=356 ms
+	// # the first attempt was 600 ms before retry 4: the SLA time of retry 4 is over, so retry 4 is rejected at once
+	// 10000 ms: reject txn 4, Decision.After=2000 ms
 	// # late responses of the product have a value: retry 5 is treated as a late retry and is rejected, because the bucket is low
-	// 10000 ms: reject txn 5, after 600 ms
+	// 10000 ms: reject txn 5, Decision.After=600 ms
 }
 
-// Guards against a customer that gets no units or too many units while the owner of its quota does not answer.
+// Guards against a customer that gets no units or too many units while the owner of the customer's bucket does not answer. Only the burst
+// share and its growth may be consumed.
 func Example_unresponsiveOwnerLeavesBurstShare() {
 	s := newWarmScenario()
 	c := customerOwnedBy(1)
-	fmt.Println("# times in ms at which a txn is submitted: the burst share is used up and then grows at the rate while no datagram arrives")
+	fmt.Println("# no datagram arrives, so the burst share is used up and then grows at the rate; times in ms at which a txn is submitted:")
 	for id := control.TxnID(1); id < 200; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: c, Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 		for x, ok := s.controller.Next(); ok; x, ok = s.controller.Next() {
@@ -513,7 +517,7 @@
 		s.controller.Now(s.controller.now + 10*time.Millisecond)
 	}
 	// Output:
-	// # times in ms at which a txn is submitted: the burst share is used up and then grows at the rate while no datagram arrives
+	// # no datagram arrives, so the burst share is used up and then grows at the rate; times in ms at which a txn is submitted:
 	// 10000 10010 10020 10030 10040 10050 10230 10400 10700 11000 11300 11510 11510 11510 11670 11870
 }
 
@@ -522,21 +526,21 @@
 	s := newWarmScenario()
 	s.controller.capacity, s.controller.products[2].value = 0.4, 5
 	c := customerOwnedBy(0)
-	fmt.Println("# no capacity: the waiting txn is submitted when a submission ends")
+	fmt.Println("# txns 0 and 1 use all capacity: txn 2 waits and is submitted when the submission of txn 0 ends")
 	for id, p := range []control.ProductID{0, 0, 2} {
 		s.addTxn(control.TxnID(id), c, p, 0)
 	}
 	s.advanceTo(10100)
 	s.endSubmission(0, control.Succeeded)
 	// Output:
-	// # no capacity: the waiting txn is submitted when a submission ends
-	// 10000 ms: submit txn 0 to backend 1, after 446 ms
-	// 10000 ms: submit txn 1 to backend 3, after 446 ms
+	// # txns 0 and 1 use all capacity: txn 2 waits and is submitted when the submission of txn 0 ends
+	// 10000 ms: submit txn 0 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 1 to backend 3, Decision.After=446 ms
 	// 10100 ms: submit txn 2 to backend 1
 }
 
-// Guards against an unresponsive backend that never gets another submission. An inquiry-like txn may be submitted to the backend
-// after each trialInterval.
+// Guards against an unresponsive backend that never gets another submission. An inquiry-like txn (product 0) may be submitted to the
+// backend after each trialInterval of 700 ms. A once-only txn (product 2) may not.
 func Example_unresponsiveBackendIsTried() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.hideDatagrams = true
@@ -567,7 +571,7 @@
 		s.printDecisions()
 	}
 	now := s.controller.now
-	fmt.Println("# expired txn, unknown product, unknown plan, invalid sets, negative units")
+	fmt.Println("# txn 1 has expired, txn 2 has an unknown product, txn 3 an unknown plan, txn 4 a negative set, txn 5 a too large set and negative units")
 	addTxn(control.Txn{ID: 1, Units: 1, Expiry: now - time.Second})
 	addTxn(control.Txn{ID: 2, Product: 9, Expiry: now + time.Second})
 	addTxn(control.Txn{ID: 3, Plan: -4, Expiry: now + time.Second})
@@ -582,38 +586,38 @@
 	_, err := New(1, control.Settings{}, 0)
 	fmt.Println(err)
 	// Output:
-	// # expired txn, unknown product, unknown plan, invalid sets, negative units
-	// 10000 ms: reject txn 1, after 2000 ms
-	// 10000 ms: reject txn 2, after 2000 ms
-	// 10000 ms: reject txn 3, after 2000 ms
-	// 10000 ms: submit txn 4 to backend 1, after 446 ms
-	// 10000 ms: submit txn 5 to backend 2, after 446 ms
+	// # txn 1 has expired, txn 2 has an unknown product, txn 3 an unknown plan, txn 4 a negative set, txn 5 a too large set and negative units
+	// 10000 ms: reject txn 1, Decision.After=2000 ms
+	// 10000 ms: reject txn 2, Decision.After=2000 ms
+	// 10000 ms: reject txn 3, Decision.After=2000 ms
+	// 10000 ms: submit txn 4 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 5 to backend 2, Decision.After=446 ms
 	// setting me: missing
 }
 
-// Guards against retries that use up the last units of a bucket before first attempts do.
+// Guards against clients' retries that use up the last units of a bucket, so that first attempts find none.
 func Example_retriesLeaveLowBucket() {
 	s := newWarmScenario()
 	c := customerOwnedBy(0)
-	fmt.Println("# four of twenty units are left: a retry is rejected at once, a first attempt is submitted")
+	fmt.Println("# 4 of 20 units are left in the bucket: txn 1, which is a client's retry, is rejected at once, and txn 2, a first attempt, is submitted")
 	s.drainBucket(c, 4)
 	s.controller.TxnArrived(control.Txn{ID: 1, Customer: c, Retry: true, Units: 1, SetWidth: 3, Expiry: s.controller.now + time.Second})
 	s.printDecisions()
 	s.addTxn(2, c, 0, 0)
 	// Output:
-	// # four of twenty units are left: a retry is rejected at once, a first attempt is submitted
-	// 10000 ms: reject txn 1, after 700 ms
-	// 10000 ms: submit txn 2 to backend 1, after 446 ms
+	// # 4 of 20 units are left in the bucket: txn 1, which is a client's retry, is rejected at once, and txn 2, a first attempt, is submitted
+	// 10000 ms: reject txn 1, Decision.After=700 ms
+	// 10000 ms: submit txn 2 to backend 1, Decision.After=446 ms
 }
 
-// Guards against unresponsive backends that get no submissions after they have recovered. Even if all backends are unresponsive at
-// the same time, all of them are ejected. Successful probes then readmit them.
+// Guards against unresponsive backends that get no submissions after they have recovered. If all backends are unresponsive at the same
+// time, all backends are ejected. Successful probes then readmit the backends.
 func Example_unresponsiveBackendsAreEjected() {
 	s := newWarmScenario()
 	for _, b := range s.controller.backendsByID {
 		b.unanswered, b.unansweredSince, b.sentAt = 2, s.controller.now, s.controller.now
 	}
-	fmt.Println("# no backend has responded for a while: all are ejected and probed")
+	fmt.Println("# no backend has responded for 1.7 s although submissions are in flight: all backends are ejected and probed")
 	s.advanceTo(11700)
 	s.advanceTo(12300)
 	for _, b := range s.controller.backendsByID {
@@ -624,15 +628,15 @@
 		s.controller.ProbeEnded(b.ID, true, time.Millisecond, nil)
 	}
 	s.advanceTo(13400)
-	fmt.Println("readmitted:", !s.controller.backendsByID[0].ejected)
+	fmt.Println("backend 1 is readmitted after two successful probes:", !s.controller.backendsByID[0].ejected)
 	// Output:
-	// # no backend has responded for a while: all are ejected and probed
+	// # no backend has responded for 1.7 s although submissions are in flight: all backends are ejected and probed
 	// 12200 ms: probe backend 1
 	// 12300 ms: probe backend 2
 	// 12400 ms: probe backend 3
 	// 12700 ms: probe backend 1
 	// 12800 ms: probe backend 2
-	// readmitted: true
+	// backend 1 is readmitted after two successful probes: true
 }
 
 // Guards against time-outs that lower the capacity although the fleet is not congested.
@@ -645,46 +649,47 @@
 	s.controller.Now(s.controller.now + 200*time.Millisecond)
 	s.controller.saturatedAt = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("time-out at a backend that has not responded since: capacity unchanged:", s.controller.capacity == before)
+	fmt.Println("time-out at a backend that has not responded since the submission was sent: capacity unchanged:", s.controller.capacity == before)
 	b.unansweredSince = s.controller.now
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("time-out at a backend that has responded to other txns since: capacity lowered:", s.controller.capacity < before)
+	fmt.Println("time-out at a backend that has responded to other txns since the submission was sent: capacity lowered:", s.controller.capacity < before)
 	before, s.controller.saturatedAt = s.controller.capacity, s.controller.now-pressureTTL
 	s.controller.adjustCapacity(s.controller.congestionOf(s.controller.txns[1], b, control.TimedOut))
-	fmt.Println("time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
+	fmt.Println("time-out while the front door is not under pressure, so the work itself takes long: capacity unchanged:", s.controller.capacity == before)
 	// Output:
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// time-out at a backend that has not responded since: capacity unchanged: true
-	// time-out at a backend that has responded to other txns since: capacity lowered: true
-	// time-out while no txn has lacked capacity recently, so the work itself takes long: capacity unchanged: true
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// time-out at a backend that has not responded since the submission was sent: capacity unchanged: true
+	// time-out at a backend that has responded to other txns since the submission was sent: capacity lowered: true
+	// time-out while the front door is not under pressure, so the work itself takes long: capacity unchanged: true
 }
 
-// Guards against the many gateways of a set that together consume more than a small burst.
+// Guards against consumption above a small burst. If the burst has less than one unit for each gateway of the customer's set, a gateway
+// must wait for the owner's answer before it consumes a unit.
 func Example_ownerIsAskedIfBurstShareIsTooSmall() {
 	s := newScenario(defaultTestSettings(0), 0)
 	s.changeEndpoints(true, control.Endpoint{ID: 1, State: control.Ready})
 	s.advanceTo(10000)
 	s.controller.capacity = 3
 	c := customerOwnedBy(1)
-	s.controller.plans[0].Burst = 2 // less than one unit for each gateway of the set
-	fmt.Println("# the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units")
+	s.controller.plans[0].Burst = 2 // units; less than one unit for each of the three gateways
+	fmt.Println("# new customer, and less than one unit of the burst for each gateway: txn 1 waits until a snapshot of level 2 arrives")
 	s.addTxn(1, c, 0, 0)
 	s.advanceTo(10030)
 	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 1, AckEpoch: s.controller.quota.Epoch(), AckHigh: 1, AckMask: 1, Snapshots: []quota.Snapshot{{Customer: c, Level: 2, Reporters: 2}}})
-	fmt.Println("# the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
+	fmt.Println("# a snapshot of level 0 arrives: txn 2 is rejected, and its retry delay is the time until the owner's bucket has one unit")
 	s.hideDatagrams = true
 	s.advanceTo(11000)
 	s.hideDatagrams = false
 	s.addTxn(2, c, 0, 0)
 	s.receiveMessage(1, &quota.Message{Epoch: 9, Version: 2, AckEpoch: s.controller.quota.Epoch(), AckHigh: 2, AckMask: 3, Snapshots: []quota.Snapshot{{Customer: c, Reporters: 2}}})
 	s.advanceTo(11150)
-	fmt.Println("# the owner does not answer in time: the burst share is used")
+	fmt.Println("# the owner does not answer in time: txn 3 is submitted against the burst share")
 	s.hideDatagrams = true
 	s.advanceTo(13000)
 	s.hideDatagrams = false
 	s.addTxn(3, c, 0, 0)
 	s.advanceTo(13140)
-	fmt.Println("# an owner that has just promised its units to one gateway promises the same units to no other gateway")
+	fmt.Println("# this front door is the owner: it has promised its unit to gateway 1 in a snapshot and promises the unit to no other gateway")
 	c = customerOwnedBy(0)
 	s.controller.plans[0].Burst = 1
 	s.hideDatagrams = true
@@ -695,27 +700,27 @@
 		s.receiveMessage(g, &quota.Message{Epoch: 9, Seq: 1, Deltas: []quota.Delta{{Customer: c, UnitsWanted: 1, SetWidth: 3}}})
 	}
 	// Output:
-	// # the burst of a new customer is less than one unit for each gateway: the owner is asked and has two units
+	// # new customer, and less than one unit of the burst for each gateway: txn 1 waits until a snapshot of level 2 arrives
 	// 10000 ms: datagram to gateway 1: delta seq=1 units=0
-	// 10030 ms: submit txn 1 to backend 1, after 419 ms
+	// 10030 ms: submit txn 1 to backend 1, Decision.After=419 ms
 	// 10030 ms: datagram to gateway 1: delta seq=2 units=1
-	// # the owner has no units: txn 2 is rejected, and its retry delay is the time until the bucket has one unit
+	// # a snapshot of level 0 arrives: txn 2 is rejected, and its retry delay is the time until the owner's bucket has one unit
 	// 11000 ms: datagram to gateway 1: delta seq=3 units=0
-	// 11000 ms: reject txn 2, after 100 ms
+	// 11000 ms: reject txn 2, Decision.After=100 ms
 	// 11150 ms: datagram to gateway 1: delta seq=3 units=0
-	// # the owner does not answer in time: the burst share is used
+	// # the owner does not answer in time: txn 3 is submitted against the burst share
 	// 12000 ms: reject txn 1
 	// 12000 ms: cancel txn 1 attempt 0
 	// 13000 ms: datagram to gateway 1: delta seq=4 units=0
 	// 13140 ms: datagram to gateway 1: delta seq=5 units=0
-	// # an owner that has just promised its units to one gateway promises the same units to no other gateway
-	// 13240 ms: submit txn 3 to backend 1, after 256 ms
+	// # this front door is the owner: it has promised its unit to gateway 1 in a snapshot and promises the unit to no other gateway
+	// 13240 ms: submit txn 3 to backend 1, Decision.After=256 ms
 	// 13790 ms: probe backend 1
 	// 14000 ms: datagram to gateway 2: snapshot level=1 reporters=3 ack=1
 }
 
-// Guards against a stall of this process that counts as a failure of the backends. Also guards against txns that are submitted after
-// their SLA time.
+// Guards against two effects of a stall of this process. The missing responses must not count as a failure of the backends. Txns whose
+// SLA time is over after the stall must not be submitted.
 func Example_processStallIsNoFaultOfBackends() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 0, 0)
@@ -726,24 +731,25 @@
 	for id := control.TxnID(2); id < 10; id++ {
 		s.controller.TxnArrived(control.Txn{ID: id, Customer: customerOwnedBy(0), Units: 1, SetWidth: 3, Expiry: s.controller.now + 2*time.Second})
 	}
-	fmt.Println("# of eight txns that arrived during two seconds, only the last two have SLA time left")
+	fmt.Println("# eight txns arrived during the stall of 2 s: only the last two have SLA time left")
 	s.printDecisions()
-	fmt.Println("loss share of the backend:", b.lossShare, "- time without a response:", s.controller.now-b.unansweredSince)
+	fmt.Println("loss share of the backend:", b.lossShare, "- time without a response from the backend:", s.controller.now-b.unansweredSince)
 	// Output:
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// # of eight txns that arrived during two seconds, only the last two have SLA time left
-	// 12000 ms: reject txn 2, after 2000 ms
-	// 12000 ms: reject txn 3, after 2000 ms
-	// 12000 ms: reject txn 4, after 2000 ms
-	// 12000 ms: reject txn 5, after 2000 ms
-	// 12000 ms: reject txn 6, after 2000 ms
-	// 12000 ms: reject txn 7, after 2000 ms
-	// 12000 ms: submit txn 8 to backend 1, after 121 ms
-	// 12000 ms: submit txn 9 to backend 1, after 333 ms
-	// loss share of the backend: 0 - time without a response: 0s
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// # eight txns arrived during the stall of 2 s: only the last two have SLA time left
+	// 12000 ms: reject txn 2, Decision.After=2000 ms
+	// 12000 ms: reject txn 3, Decision.After=2000 ms
+	// 12000 ms: reject txn 4, Decision.After=2000 ms
+	// 12000 ms: reject txn 5, Decision.After=2000 ms
+	// 12000 ms: reject txn 6, Decision.After=2000 ms
+	// 12000 ms: reject txn 7, Decision.After=2000 ms
+	// 12000 ms: submit txn 8 to backend 1, Decision.After=121 ms
+	// 12000 ms: submit txn 9 to backend 1, Decision.After=333 ms
+	// loss share of the backend: 0 - time without a response from the backend: 0s
 }
 
-// Guards against buckets that start full after the restart of one front door. Buckets start full only if all front doors have just started.
+// Guards against buckets that start full after the restart of one front door. Buckets may start full only if all front doors were started
+// at about the same time.
 func Example_bucketStartsFullInNewCluster() {
 	c := customerOwnedBy(0)
 	for _, age := range []time.Duration{0, 60 * time.Second} {
@@ -753,11 +759,11 @@
 		}
 		s.controller.quota.EnsureAccount(c, 0, 0, 3)
 		state, _ := s.controller.quota.AccountState(c)
-		fmt.Println("peers started", age, "ago: units at the start of a bucket:", state.Level)
+		fmt.Println("all peers started", age, "before this front door: units in a new bucket:", state.Level)
 	}
 	// Output:
-	// peers started 0s ago: units at the start of a bucket: 20
-	// peers started 1m0s ago: units at the start of a bucket: 0
+	// all peers started 0s before this front door: units in a new bucket: 20
+	// all peers started 1m0s before this front door: units in a new bucket: 0
 }
 
 // Guards against front doors that exclude a failing backend only after failures of their own submissions. The observations of a peer
@@ -770,15 +776,17 @@
 		m.Observations = append(m.Observations, quota.Observation{BackendHash: b.hash & quota.ObservationHashMask, Ratio: quota.ObservedFailed}, quota.Observation{BackendHash: 5, Ratio: 9})
 	}
 	s.receiveMessage(1, m)
-	fmt.Println("peers observed failures of product 0: the backend is excluded for product 0:", b.failures[0].excludedUntil > s.controller.now, "- for product 1:", b.failures[1].excludedUntil > s.controller.now)
-	fmt.Println("an observation of a backend that is not in the list of this front door is ignored, number of backends:", len(s.controller.backends))
+	fmt.Println("a peer reported failures of product 0 at backend 2: the backend is excluded for product 0:", b.failures[0].excludedUntil > s.controller.now,
+		"- for product 1:", b.failures[1].excludedUntil > s.controller.now)
+	fmt.Println("a peer reported an outcome of a backend that is not in this front door's list, and the list is unchanged: number of backends:",
+		len(s.controller.backends))
 	// Output:
-	// peers observed failures of product 0: the backend is excluded for product 0: true - for product 1: false
-	// an observation of a backend that is not in the list of this front door is ignored, number of backends: 3
+	// a peer reported failures of product 0 at backend 2: the backend is excluded for product 0: true - for product 1: false
+	// a peer reported an outcome of a backend that is not in this front door's list, and the list is unchanged: number of backends: 3
 }
 
-// Guards against state that is never removed or is removed too early. A backend that is gone is removed at once. An owned customer is
-// removed only when its bucket is full again.
+// Guards against state that is never removed or is removed too early. A backend that is gone must be removed at once. The account of a
+// customer whose bucket this front door owns must be removed only when the bucket is full again.
 func Example_goneBackendsAndFullBucketsAreRemoved() {
 	s := newWarmScenario()
 	mine, other := customerOwnedBy(0), customerOwnedBy(1)
@@ -798,25 +806,25 @@
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
 	}
 	state, _ := s.controller.quota.AccountState(mine)
-	fmt.Printf("units in the bucket: %.0f, number of customers: %d\n", state.Level, s.controller.quota.CustomerCount())
+	fmt.Printf("the bucket is not full: units in the bucket: %.0f, number of customers with an account: %d\n", state.Level, s.controller.quota.CustomerCount())
 	s.advanceTo(40000)
-	fmt.Println("number of customers:", s.controller.quota.CustomerCount())
+	fmt.Println("the bucket is full again: number of customers with an account:", s.controller.quota.CustomerCount())
 	// Output:
 	// number of backends in the list and in the two maps: 3 3 3
-	// 10000 ms: submit txn 1 to backend 1, after 446 ms
-	// 10000 ms: submit txn 2 to backend 2, after 446 ms
-	// units in the bucket: 0, number of customers: 1
-	// number of customers: 0
+	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 2, Decision.After=446 ms
+	// the bucket is not full: units in the bucket: 0, number of customers with an account: 1
+	// the bucket is full again: number of customers with an account: 0
 }
 
-// Guards against a backend that is never picked again after one report of a high load, since only a pick brings a new report. The weight of
-// a report decreases with its age, and an impossible report is ignored.
+// Guards against a backend that is never picked again after one load report with a high load, because only a submission brings a new load
+// report. The weight of a load report decreases with its age. A load report with an impossible value is ignored.
 func Example_loadReportsExpire() {
 	s := newWarmScenario()
 	b := s.controller.backends[1]
 	applyReport := func(inFlight float64) {
 		s.controller.SubmissionEnded(0, 0, 1, control.Succeeded, true, 0, []float64{inFlight})
-		fmt.Printf("load report with submissions in flight %g: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
+		fmt.Printf("load report with %g submissions in flight: load of the backend %.1f\n", inFlight, s.controller.loadOf(b))
 	}
 	s.controller.refreshBackends()
 	applyReport(1e5)
@@ -826,16 +834,16 @@
 		fmt.Printf("at %d ms: load of the backend %.1f\n", t, s.controller.loadOf(b))
 	}
 	// Output:
-	// load report with submissions in flight 100000: load of the backend 0.0
-	// load report with submissions in flight 20: load of the backend 10.0
+	// load report with 100000 submissions in flight: load of the backend 0.0
+	// load report with 20 submissions in flight: load of the backend 10.0
 	// at 11000 ms: load of the backend 7.5
 	// at 12000 ms: load of the backend 5.0
 	// at 13000 ms: load of the backend 2.5
 	// at 14000 ms: load of the backend 0.0
 }
 
-// Guards against late load reports that repeatedly move customers between backends. A backend with somewhat more than the mean load
-// must keep its customers. Only a backend with far more than the mean load loses customers.
+// Guards against load reports that move customers from one backend to another again and again, because the reports arrive late. A backend
+// with somewhat more than the mean load must keep its customers. Only a backend with far more than the mean load may lose customers.
 func Example_reportedLoadKeepsRanking() {
 	s := newScenario(defaultTestSettings(0), 0)
 	for id := control.BackendID(1); id <= 20; id++ {
@@ -856,13 +864,14 @@
 			x.inFlightElsewhere, x.loadReportedAt = 1, s.controller.now
 		}
 		b.inFlightElsewhere = inFlight
-		fmt.Printf("submissions in flight: %.0f at the backend, 1 at each other backend; the backend is still picked: %v\n", inFlight, backendOfNewTxn(control.TxnID(i+2)) == b)
+		fmt.Printf("submissions of other front doors in flight: %.0f at the customer's backend, 1 at each other backend; the customer's backend is picked: %v\n",
+			inFlight, backendOfNewTxn(control.TxnID(i+2)) == b)
 		s.endSubmission(control.TxnID(i+2), control.Succeeded)
 	}
 	// Output:
-	// 10000 ms: submit txn 1 to backend 14, after 446 ms
-	// 10000 ms: submit txn 2 to backend 14, after 446 ms
-	// submissions in flight: 4 at the backend, 1 at each other backend; the backend is still picked: true
-	// 10000 ms: submit txn 3 to backend 1, after 446 ms
-	// submissions in flight: 40 at the backend, 1 at each other backend; the backend is still picked: false
+	// 10000 ms: submit txn 1 to backend 14, Decision.After=446 ms
+	// 10000 ms: submit txn 2 to backend 14, Decision.After=446 ms
+	// submissions of other front doors in flight: 4 at the customer's backend, 1 at each other backend; the customer's backend is picked: true
+	// 10000 ms: submit txn 3 to backend 1, Decision.After=446 ms
+	// submissions of other front doors in flight: 40 at the customer's backend, 1 at each other backend; the customer's backend is picked: false
 }
--- a/control/loadbalancer/recorded_test.go
+++ b/control/loadbalancer/recorded_test.go
@@ -18,7 +18,7 @@
 // were recorded on 2 December 2026. The runs include lost datagrams, unresponsive backends and restarts of backends. A change that is
 // meant to change decisions must record new digests.
 
-// decisionRecorder computes the digest of a sequence of decisions.
+// decisionRecorder computes the digest of a sequence of decisions. The digest has the number of decisions and a hash of their fields.
 type decisionRecorder struct {
 	hash.Hash64
 	count int
@@ -52,15 +52,16 @@
 }
 
 // simulationDigest simulates three front doors and eight backends and returns the digest of the decisions. Some backends are slow,
-// failing, unreachable or warming up.
+// failing, unreachable or warming up. load is the probability that another txn arrives at a front door within the same 5 ms step. change
+// changes the settings of each front door.
 func simulationDigest(seed int64, load float64, change func(control.Settings)) string {
 	type event struct {
-		at       time.Duration
-		instance int
+		at       time.Duration // time at which the event takes effect
+		instance int           // index of the front door that gets the event
 		decision control.Decision
-		attempt  int
-		from     control.GatewayID // sender of a datagram
-		sent     time.Duration
+		attempt  int               // index of the submission among the submissions of its txn, from 0
+		from     control.GatewayID // for a datagram: the sender
+		sent     time.Duration     // for a submission: time at which it was sent
 	}
 	rng, rec := rand.New(rand.NewSource(seed)), newDecisionRecorder()
 	var controllers []*Controller
@@ -84,7 +85,7 @@
 		}
 		d.EndpointsChanged(true, all)
 	}
-	isStalled := func(step int) bool { return step%1500 > 1420 } // the second front door stalls repeatedly
+	isStalled := func(step int) bool { return step%1500 > 1420 } // the second front door stalls for 79 of each 1500 steps
 	attempts := map[[2]int]int{}
 	unanswered := map[[2]int]bool{}
 	inFlight := [9]int{}
@@ -192,12 +193,12 @@
 		seed   int64
 		want   string
 	}{
-		{"low load", 0.2, func(control.Settings) {}, 1, "22398 7cdf512c8e12c25d"},
-		{"high load", 0.7, func(control.Settings) {}, 2, "97632 79bb9abc922bbd29"},
-		{"no probes, no retry delays, no cancellation", 0.5, func(s control.Settings) {
+		{"low load, default settings", 0.2, func(control.Settings) {}, 1, "22398 7cdf512c8e12c25d"},
+		{"high load, default settings", 0.7, func(control.Settings) {}, 2, "97632 79bb9abc922bbd29"},
+		{"probes, retry delays and cancellation are disabled", 0.5, func(s control.Settings) {
 			s["limits.probes"], s["limits.cancel"], s["limits.advice"] = "false", "false", "false"
 		}, 3, "62102 3f46f75209db254e"},
-		{"load reports by probes", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
+		{"load reports come with probe responses", 0.5, func(s control.Settings) { s["report.how"], s["report.fields"] = "probe", "queue,per_s,service_ms" }, 4, "63570 369a32c64359b1ca"},
 	} {
 		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, simulationDigest(tc.seed, tc.load, tc.change)) })
 	}
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -9,16 +9,16 @@
 )
 
 // scenario drives one controller and prints its decisions. Times in arguments and in the output are in milliseconds. In the output,
-// "after" is Decision.After, which is the time-out of a submission or the retry delay of a rejection.
+// Decision.After is the time-out of a submission or the retry delay of a rejection.
 type scenario struct {
 	controller    *Controller
 	datagrams     []*quota.Message
-	hideDatagrams bool // true means that datagrams are not printed
+	hideDatagrams bool // true means that decisions to send a datagram are not printed
 }
 
-// defaultTestSettings returns the settings of front door me. Product 0 is inquiry-like, product 1 is referenced with scope pod,
-// product 2 is once-only, and product 3 is referenced with scope all. Plan 0 has ten units per second and a burst of 20. Plan 1 has
-// the same and a hard limit of 20 units per second with a burst of 20.
+// defaultTestSettings returns the settings of one of three front doors. Product 0 is inquiry-like, product 1 is referenced with scope pod,
+// product 2 is once-only, and product 3 is referenced with scope all. Plan 0 has ten units per second and a burst of 20 units. Plan 1
+// has the same limits, and also a hard limit of 20 units per second with a burst of 20 units.
 func defaultTestSettings(frontDoorIndex int) control.Settings {
 	s := control.Settings{"me": fmt.Sprint(frontDoorIndex), "gateways": "3", "zone": "0", "limits.probes": "true",
 		"limits.peers": "true", "limits.cancel": "true", "limits.advice": "true",
@@ -26,7 +26,7 @@
 		"report.fields": "inflight", "rules.warm_by": "10000000", "rules.fall_window": "1000000",
 		"rules.cold_from": "0.2", "rules.fall_multiple": "2", "quota.most_units": "1",
 		"quota.mail_per_s": "100", "products.count": "4", "plans.count": "2"}
-	// Each text holds the effect of a product and its repeat scope. The scope names the backends at which a txn may be repeated.
+	// Each text has the effect of a product and the repeat scope of the product, which is the set of backends that drop a repeat of a txn.
 	for i, kind := range []string{"inquiry-like all", "referenced pod", "once-only all", "referenced all"} {
 		at := fmt.Sprintf("products.%d.", i)
 		var effect, scope string
@@ -44,7 +44,7 @@
 	return s
 }
 
-// newScenario returns a scenario whose clock starts at the given time.
+// newScenario returns a scenario whose clock starts at startMillis. Its backend list is empty.
 func newScenario(settings control.Settings, startMillis int) *scenario {
 	d, err := New(1, settings, time.Millisecond*time.Duration(startMillis))
 	if err != nil {
@@ -62,8 +62,8 @@
 	return s
 }
 
-// advanceTo moves the clock to a time and prints the decisions until then. It moves the clock in steps, as a host does, because a long time
-// without a call counts as a stall of the process.
+// advanceTo moves the clock to toMillis and prints the decisions. It moves the clock in steps of 50 ms, as a host does, because a longer
+// time without a call of Now (stallThreshold) counts as a stall of the process.
 func (s *scenario) advanceTo(toMillis int) {
 	for to := time.Millisecond * time.Duration(toMillis); s.controller.now < to; {
 		s.controller.Now(min(to, s.controller.now+50*time.Millisecond))
@@ -71,19 +71,19 @@
 	}
 }
 
-// changeEndpoints applies changes to the backend list, or replaces it if complete is true.
+// changeEndpoints applies changes to the backend list. If complete is true, it replaces the backend list.
 func (s *scenario) changeEndpoints(complete bool, l ...control.Endpoint) {
 	s.controller.EndpointsChanged(complete, l)
 }
 
-// addTxn adds a txn of customer c, product p and plan pl with one unit and an expiry in two seconds, and prints the decisions.
+// addTxn adds a txn with one unit and an expiry in two seconds, and prints the decisions.
 func (s *scenario) addTxn(id control.TxnID, customer control.CustomerID, product control.ProductID, plan control.PlanID) {
 	s.controller.TxnArrived(control.Txn{ID: id, Customer: customer, Product: product, Plan: plan, Units: 1, SetWidth: 3,
 		Expiry: s.controller.now + 2*time.Second})
 	s.printDecisions()
 }
 
-// endSubmission ends the submission of a txn that is in flight, and prints the decisions.
+// endSubmission ends the submission in flight of a txn with the given ending, and prints the decisions.
 func (s *scenario) endSubmission(id control.TxnID, ending control.Ending) {
 	t := s.controller.txns[id]
 	s.controller.SubmissionEnded(id, t.submissions-1, t.currentBackend.ID, ending, ending == control.Succeeded, s.controller.now-t.sentAt, nil)
@@ -99,8 +99,8 @@
 	}
 }
 
-// drainBucket consumes units of a customer until the given number is left. The customer must have plan 0, and this gateway must own
-// its bucket. The bucket must hold at least the given number of units.
+// drainBucket consumes units of a customer until the given number of units is left in the customer's bucket. The customer must have plan
+// 0, and this gateway must own the bucket. The bucket must hold at least the given number of units.
 func (s *scenario) drainBucket(c control.CustomerID, left float64) {
 	s.controller.quota.EnsureAccount(c, 0, 0, 3)
 	state, _ := s.controller.quota.AccountState(c)
@@ -113,7 +113,7 @@
 	s.printDecisions()
 }
 
-// printDecisions prints the decisions until there is none.
+// printDecisions calls Next until there is no decision, and prints each decision.
 func (s *scenario) printDecisions() {
 	for {
 		x, ok := s.controller.Next()
@@ -129,7 +129,7 @@
 	t := fmt.Sprintf("%5d ms: ", s.controller.now.Milliseconds())
 	limit := ""
 	if x.After > 0 {
-		limit = fmt.Sprintf(", after %d ms", x.After.Milliseconds())
+		limit = fmt.Sprintf(", Decision.After=%d ms", x.After.Milliseconds())
 	}
 	switch x.Action {
 	case control.Submit:
--- a/control/loadbalancer/settings_test.go
+++ b/control/loadbalancer/settings_test.go
@@ -9,7 +9,7 @@
 	"clovergap/control"
 )
 
-// Guards against an error that does not name the invalid setting. New must report the name of the first setting that is missing or
+// Guards against an error that names the wrong setting or no setting. New must report the name of the first setting that is missing or
 // invalid.
 func TestNewReportsFirstInvalidSetting(t *testing.T) {
 	for _, tc := range []struct{ name, value, problem string }{
--- a/control/quota/bench_test.go
+++ b/control/quota/bench_test.go
@@ -9,8 +9,8 @@
 	"clovergap/control"
 )
 
-// newBenchmarkMessage returns a message of the size that a busy peer sends. It has five deltas, eight snapshots and three
-// observations.
+// newBenchmarkMessage returns a message as large as a peer with many customers sends. The message has five deltas, eight snapshots and
+// three observations.
 func newBenchmarkMessage() *Message {
 	m := &Message{Epoch: 0x9f3a6c01, Interval: 200 * time.Millisecond, Age: 90 * time.Second, Seq: 4711, Version: 9182, AckEpoch: 0x71b2c3d5, AckHigh: 4699,
 		AckMask: 0xffffffff}
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -11,27 +11,30 @@
 	"clovergap/control"
 )
 
-// partitionScenario is a cluster that is partitioned under constant pressure, which means that each gateway consumes units as soon as
-// they are allowed. The isolatedCount gateways whose IDs follow the owner's ID are on the isolated side. They are partitioned from
-// the owner and from all other gateways.
+// partitionScenario is a cluster that is partitioned under constant pressure. Under pressure, each gateway consumes units as soon as they
+// are allowed. The isolated side consists of the isolatedCount gateways whose IDs follow the owner's ID. These gateways are partitioned
+// from the owner and from all gateways that are not on the isolated side.
 type partitionScenario struct {
 	*cluster
-	isolatedCount               int
-	rate, burst                 float64
-	partitionedNow              bool
-	blockInbound, blockOutbound bool // datagrams to, and datagrams from, the isolated side are lost
-	underPressure               bool
-	detectionTime, recoveryTime time.Duration // longest time until the hosts find the partition and its end
-	step                        time.Duration
+	isolatedCount               int     // number of gateways on the isolated side
+	rate, burst                 float64 // limits of the watched customer, in units a second and in units
+	partitionedNow              bool    // the partition has begun and has not ended
+	blockInbound, blockOutbound bool    // during the partition, datagrams to (blockInbound) or from (blockOutbound) the isolated side are lost
+	underPressure               bool    // each gateway consumes units as soon as they are allowed
+	// detectionTime is the longest time from the start of a partition until a host detects the partition. recoveryTime is the longest
+	// time from the end of a partition until a host detects the end.
+	detectionTime, recoveryTime time.Duration
+	step                        time.Duration // time by which the clock advances at once
 }
 
 func newPartitionScenario(t *testing.T, gatewayCount, isolatedCount int, rate, burst float64) *partitionScenario {
-	s := &partitionScenario{cluster: newCluster(t, gatewayCount, rate, burst), isolatedCount: isolatedCount, rate: rate, burst: burst, blockInbound: true, blockOutbound: true, step: 10 * time.Millisecond,
+	s := &partitionScenario{cluster: newCluster(t, gatewayCount, rate, burst), isolatedCount: isolatedCount, rate: rate, burst: burst,
+		blockInbound: true, blockOutbound: true, step: 10 * time.Millisecond,
 		detectionTime: 2900 * time.Millisecond, recoveryTime: 900 * time.Millisecond}
 	return s
 }
 
-// isIsolated reports whether a gateway is on the isolated side.
+// isIsolated reports whether gateway g is on the isolated side.
 func (p *partitionScenario) isIsolated(g control.GatewayID) bool {
 	n := len(p.limiters)
 	return (int(g)-int(p.ownerID())-1+n)%n < p.isolatedCount
@@ -49,7 +52,8 @@
 	}
 }
 
-// setReachableFrom sets which gateways gateway g can reach.
+// setReachableFrom tells the limiter of gateway g which gateways it can reach. If partitioned is true, these are the gateways on the same
+// side as g.
 func (p *partitionScenario) setReachableFrom(g control.GatewayID, partitioned bool) {
 	live := make([]bool, len(p.limiters))
 	for i := range live {
@@ -60,7 +64,8 @@
 	}
 }
 
-// advanceBy runs the scenario for the given time. It calls the functions in due when the clock reaches their times.
+// advanceBy runs the scenario for the given time. The keys of due are times on the clock. When the clock reaches such a time, advanceBy
+// calls the functions of the time and removes them from due.
 func (p *partitionScenario) advanceBy(d time.Duration, due map[time.Duration][]func()) {
 	for end := p.now + d; p.now < end; {
 		p.now += p.step
@@ -78,7 +83,7 @@
 				continue
 			}
 			limiter.SetNow(p.now)
-			for attempts := 0.0; p.underPressure && attempts <= p.rate+p.burst; attempts++ { // the limit on attempts ends the loop if too much is allowed
+			for attempts := 0.0; p.underPressure && attempts <= p.rate+p.burst; attempts++ { // the limit on attempts ends the loop if a fault allows every request
 				if v, _ := limiter.Check(watchedCustomer, Request{Units: 1, Arrived: p.now, SLA: 400 * time.Millisecond}); v != Allowed {
 					break
 				}
@@ -90,8 +95,8 @@
 	}
 }
 
-// partitionSchedules lists times at which a partition alternately begins and ends, relative to the start of the pressure. The case
-// selection in TestBoundHoldsInAnyPartition depends on the lengths of the names.
+// partitionSchedules lists the times at which a partition begins and ends in turn. The times are relative to the start of the pressure.
+// TestBoundHoldsInAnyPartition selects cases by the lengths of the names.
 var partitionSchedules = map[string][]time.Duration{
 	"once":      {0, 12 * time.Second},
 	"before":    {-2 * time.Second, 9 * time.Second},
@@ -118,7 +123,7 @@
 			if variedDelays {
 				wait -= time.Duration(p.rng.Int63n(int64(900 * time.Millisecond)))
 			}
-			addEvent(at+wait+time.Duration(g), func() { // the change is reported only if it still holds
+			addEvent(at+wait+time.Duration(g), func() { // a start or end of the partition is reported only if it is still the last change
 				if p.partitionedNow == partitioned {
 					p.setReachableFrom(control.GatewayID(g), partitioned)
 				}
@@ -146,11 +151,11 @@
 			for i, limit := range limits {
 				for name, schedule := range partitionSchedules {
 					caseNumber := isolated + i + len(name)
-					if n == 12 && caseNumber%6 != 0 { // run only some of the cases for 12 gateways; together they include all isolated counts and all limits
+					if n == 12 && caseNumber%6 != 0 { // for 12 gateways, only some cases run; they include all isolated counts and all limits
 						continue
 					}
 					s := newPartitionScenario(t, n, isolated, limit[0], limit[1])
-					s.blockInbound, s.blockOutbound = caseNumber%3 != 1, caseNumber%3 != 2 // in some cases datagrams are lost in only one direction
+					s.blockInbound, s.blockOutbound = caseNumber%3 != 1, caseNumber%3 != 2 // in two of three cases datagrams are lost in one direction only
 					s.runSchedule(schedule, (isolated+i)%2 == 0)
 					s.requireWithinBound(fmt.Sprintf("isolated=%d gateways=%d rate and burst=%v schedule=%q: most units consumed in a 5 s window", isolated, n, limit, name))
 				}
@@ -159,12 +164,12 @@
 	}
 }
 
-// TestBoundHoldsThroughAnyRestart guards against a restarted gateway that may consume units which it has already consumed in its
-// former epoch. The owner, the other gateways or random gateways restart under constant pressure.
+// TestBoundHoldsThroughAnyRestart guards against a gateway that consumes the same units before and after a restart. The owner, the other
+// gateways or random gateways restart under constant pressure.
 func TestBoundHoldsThroughAnyRestart(t *testing.T) {
 	for _, limit := range [][2]float64{{6, 6}, {20, 20}, {200, 200}, {20, 400}, {400, 20}} {
 		for _, n := range []int{2, 3, 5, 12} {
-			// Case 0 restarts the owner, case 1 the other gateways, and case 2 random gateways.
+			// If restarting is 0, the owner restarts. If it is 1, all other gateways restart. If it is 2, random gateways restart.
 			for restarting := range 3 {
 				s := newPartitionScenario(t, n, 1, limit[0], limit[1])
 				s.step = 50 * time.Millisecond
@@ -185,7 +190,8 @@
 						s.limiters[g].SetLimit(watchedCustomer, limit[0], limit[1])
 					}
 				}
-				s.requireWithinBound(fmt.Sprintf("gateways=%d rate and burst=%v restart case=%d: most units consumed in a 5 s window", n, limit, restarting))
+				s.requireWithinBound(fmt.Sprintf("gateways=%d rate and burst=%v restarted=%d (0: owner, 1: all others, 2: random): most units consumed in a 5 s window",
+					n, limit, restarting))
 			}
 		}
 	}
@@ -216,7 +222,8 @@
 	}
 }
 
-// requireWithinBound asserts that consumption stays within the bound of strict mode in every window.
+// requireWithinBound asserts that the units consumed in every 5 s window stay within the bound of strict mode. scenario describes the case
+// and is the message of a failed assertion.
 func (p *partitionScenario) requireWithinBound(scenario string) {
 	p.t.Helper()
 	first, most := 0, 0
@@ -244,5 +251,6 @@
 		}
 	}
 	c.runWithRandomRequests(2*time.Second, 5)
-	must.Greater(t, 90, c.runWithRandomRequests(2*time.Second, 5), must.Sprint("units allowed of about 120 requested units"))
+	must.Greater(t, 90, c.runWithRandomRequests(2*time.Second, 5),
+		must.Sprint("units allowed from 2 s to 4 s after the owner's restart, of about 120 requested units"))
 }
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -7,11 +7,11 @@
 	"clovergap/control"
 )
 
-// planScenario is a front door's limiter in a cluster of three. The only plan has ten units a second, a burst of 20 units, and a hard
+// planScenario has the limiter of front door 0 of three front doors. The only plan has ten units a second, a burst of 20 units, and a hard
 // limit of 20 units a second with a burst of 20 units.
 type planScenario struct {
 	*Limiter
-	datagrams []*Message
+	datagrams []*Message // all messages that the limiter has sent
 }
 
 func newPlanScenario() *planScenario {
@@ -57,7 +57,7 @@
 	return outcome
 }
 
-// customerOwnedBy returns a customer whose owner is gateway g if the set consists of all three gateways.
+// customerOwnedBy returns a customer whose bucket gateway g owns if all three gateways may serve the customer.
 func customerOwnedBy(g control.GatewayID) control.CustomerID {
 	for c := control.CustomerID(1); ; c++ {
 		if OwnerOf(c, 0, 3, 3) == g {
@@ -71,24 +71,24 @@
 	c := customerOwnedBy(1)
 	a := s.EnsureAccount(c, 0, 0, 3)
 	s.refillHardShare(a)
-	fmt.Println("# a share with less than one unit: the gateway requests the missing units, and the grant covers the txn")
+	fmt.Println("# the gateway's share of the hard limit has 0.25 units: the gateway requests 0.75 units, and the owner's grant covers the txn")
 	a.hardShare = 0.25
 	fmt.Println("pending:", s.checkAndConsume(a) == Pending)
 	fmt.Printf("units requested: %.2f\n", -s.lastDatagram().Deltas[0].Transfer)
 	m := &Message{Epoch: 9, Version: 3, AckEpoch: s.epoch, AckHigh: 1, AckMask: 1, Snapshots: []Snapshot{{Customer: c, Level: 5, Reporters: 1, Grant: 0.75}}}
 	s.receiveMessage(1, m)
 	fmt.Println("allowed:", s.checkAndConsume(a) == Allowed)
-	fmt.Println("# a duplicated grant is applied once, and the share does not exceed its capacity")
+	fmt.Println("# a grant of 900 units arrives twice and is applied once, and the share does not exceed its maximum")
 	a.hardShare, m.Version, m.Snapshots[0].Grant = 0, 4, 900
 	s.receiveMessage(1, m)
 	fmt.Printf("units in the share: %.1f of %.1f\n", a.hardShare, s.hardShareCap(a))
 	a.hardShare = 0
 	s.receiveMessage(1, m)
-	fmt.Println("# a grant for an earlier epoch is dropped")
+	fmt.Println("# a grant for another epoch of this gateway is dropped")
 	m.Version, m.AckEpoch = 5, 77
 	s.receiveMessage(1, m)
 	fmt.Printf("units in the share: %.1f\n", a.hardShare)
-	fmt.Println("# the shares and the pool add up to the hard limit; an owner grants no more than its pool")
+	fmt.Println("# the shares of all gateways, with the owner's pool, add up to the hard limit; an owner with 2 units left grants no more than 2 units")
 	own := s.EnsureAccount(customerOwnedBy(0), 0, 0, 3)
 	fmt.Printf("units: owner's share with the pool %.1f, share of each of the two other gateways %.1f, burst of the hard limit %.1f\n",
 		s.hardShareCap(own), s.hardShareCap(a), a.limit.HardBurst)
@@ -100,21 +100,21 @@
 		for _, l := range s.lastDatagram().Snapshots {
 			grant = l.Grant
 		}
-		fmt.Printf("requested %.1f, granted %.1f\n", want, grant)
+		fmt.Printf("units requested: %.1f, units granted: %.1f\n", want, grant)
 	}
 	// Output:
-	// # a share with less than one unit: the gateway requests the missing units, and the grant covers the txn
+	// # the gateway's share of the hard limit has 0.25 units: the gateway requests 0.75 units, and the owner's grant covers the txn
 	// pending: true
 	// units requested: 0.75
 	// allowed: true
-	// # a duplicated grant is applied once, and the share does not exceed its capacity
+	// # a grant of 900 units arrives twice and is applied once, and the share does not exceed its maximum
 	// units in the share: 3.3 of 3.3
-	// # a grant for an earlier epoch is dropped
+	// # a grant for another epoch of this gateway is dropped
 	// units in the share: 0.0
-	// # the shares and the pool add up to the hard limit; an owner grants no more than its pool
+	// # the shares of all gateways, with the owner's pool, add up to the hard limit; an owner with 2 units left grants no more than 2 units
 	// units: owner's share with the pool 13.3, share of each of the two other gateways 3.3, burst of the hard limit 20.0
-	// requested 3.0, granted 0.0
-	// requested 1.5, granted 1.5
+	// units requested: 3.0, units granted: 0.0
+	// units requested: 1.5, units granted: 1.5
 }
 
 func Example_messageEncodingAndMalformedDatagrams() {
@@ -134,12 +134,12 @@
 	s.DatagramReceived(1, append(b, 0))
 	m.Deltas[0].SetWidth = 1 << 30
 	s.DatagramReceived(1, m.Encode())
-	fmt.Println("all are counted as bad datagrams; number of accounts; time of the last valid datagram:",
+	fmt.Println("all of them are counted as bad datagrams; number of accounts; time of the peer's last valid datagram (0s if none):",
 		s.badDatagrams == len(b)+2, len(s.accounts), s.peers[1].receivedAt)
 	// Output:
 	// decoded delta, snapshot and interval equal the encoded ones; then the decoding error: true true true <nil>
 	// # a datagram cut short at any byte, too long, or with a number out of range is dropped and counted, and changes no state
-	// all are counted as bad datagrams; number of accounts; time of the last valid datagram: true 0 0s
+	// all of them are counted as bad datagrams; number of accounts; time of the peer's last valid datagram (0s if none): true 0 0s
 }
 
 func Example_txnReplacesWrongSetOfPeer() {
@@ -147,16 +147,18 @@
 	c := customerOwnedBy(0)
 	s.receiveMessage(1, &Message{Epoch: 7, Seq: 1, Deltas: []Delta{{Customer: c, SetWidth: 1}}})
 	a := s.accounts[c]
-	fmt.Println("a delta of a peer names a set of only this gateway: set width", a.setWidth, "- the share of the hard limit has units:", s.refillHardShare(a) > 0)
+	fmt.Println("a peer's delta says that only this gateway serves the customer: number of serving gateways:", a.setWidth,
+		"- the gateway's share of the hard limit has units:", s.refillHardShare(a) > 0)
 	s.checkAndConsume(s.EnsureAccount(c, 0, 0, 3))
-	fmt.Println("a txn names a set of three gateways, so the hard limit's share is void: set width", a.setWidth,
-		"- units in the share of the hard limit:", a.hardShare)
+	fmt.Println("a txn says that three gateways serve the customer: number of serving gateways:", a.setWidth,
+		"- the former share is void: units in the share of the hard limit:", a.hardShare)
 	// Output:
-	// a delta of a peer names a set of only this gateway: set width 1 - the share of the hard limit has units: true
-	// a txn names a set of three gateways, so the hard limit's share is void: set width 3 - units in the share of the hard limit: 0
+	// a peer's delta says that only this gateway serves the customer: number of serving gateways: 1 - the gateway's share of the hard limit has units: true
+	// a txn says that three gateways serve the customer: number of serving gateways: 3 - the former share is void: units in the share of the hard limit: 0
 }
 
-// Guards against the removal of an owned account before its bucket is full again. A new account would then start with a full bucket.
+// Guards against the removal of an account before its bucket is full again. The next request of the customer would then create an account
+// with a full bucket.
 func Example_idleAccountsAreRemoved() {
 	s := newPlanScenario()
 	s.checkAndConsume(s.EnsureAccount(customerOwnedBy(0), 0, 0, 3))
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -14,12 +14,12 @@
 type cluster struct {
 	t           *testing.T
 	now         time.Duration
-	limiters    []*Limiter
-	datagrams   []datagram
+	limiters    []*Limiter // indexed by gateway ID; nil while the gateway is down
+	datagrams   []datagram // datagrams in transit
 	rng         *rand.Rand
-	lossRate    float64 // share of datagrams that are lost; the same share is duplicated, and the duplicates are delayed
-	partitioned map[[2]control.GatewayID]bool
-	consumed    []time.Duration // times at which any gateway consumed a unit of the watched customer
+	lossRate    float64                       // share of the datagrams that are lost, from 0 to 1; the same share is duplicated, and the duplicates are delayed
+	partitioned map[[2]control.GatewayID]bool // true if datagrams from the first to the second gateway are lost
+	consumed    []time.Duration               // times at which any gateway consumed a unit of the watched customer
 }
 
 // datagram is a datagram in transit.
@@ -34,7 +34,7 @@
 	step            = 2 * time.Millisecond
 )
 
-// gatewayConfig approximates the configuration of a gateway's node.
+// gatewayConfig is similar to the configuration of a node of cmd/gateway.
 var gatewayConfig = Config{MinInterval: 200 * time.Millisecond, SnapshotTTL: time.Second, DatagramsPerSecond: 200, Strict: true,
 	OwnershipDelay: time.Second, Window: 5 * time.Second, Excess: 0.1, Margin: 20}
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// setReachable sets which gateways gateway g can reach. A gateway for which isolated returns true reaches no other gateway and is
-// reached by none.
+// setReachable tells the limiter of gateway g which gateways it can reach. A gateway for which isolated returns true can reach no other
+// gateway, and no other gateway can reach it.
 func (c *cluster) setReachable(g control.GatewayID, isolated func(control.GatewayID) bool) {
 	live := make([]bool, len(c.limiters))
 	for i := range live {
@@ -77,8 +77,8 @@
 	c.limiters[g].SetReachable(live)
 }
 
-// runWithRandomRequests runs the cluster for the given time and returns the number of allowed units. Each gateway, or the single
-// gateway given, receives random requests at a mean rate of unitsPerSecond.
+// runWithRandomRequests runs the cluster for the given time and returns the number of allowed units. Each gateway receives random requests
+// at a mean rate of unitsPerSecond. If onlyGateway is given, only this gateway receives requests.
 func (c *cluster) runWithRandomRequests(d time.Duration, unitsPerSecond float64, onlyGateway ...control.GatewayID) (allowed int) {
 	for end := c.now + d; c.now < end; {
 		c.now += step
@@ -101,7 +101,7 @@
 	return allowed
 }
 
-// exchangeDatagrams delivers the datagrams that have arrived and sends the datagrams that are due.
+// exchangeDatagrams delivers the datagrams whose arrival time has come. It then calls Sweep and NextDatagram of each limiter.
 func (c *cluster) exchangeDatagrams() {
 	kept := c.datagrams[:0]
 	for _, m := range c.datagrams {
@@ -132,7 +132,7 @@
 	}
 }
 
-// requireWithinBound asserts that consumption stays within the bound of strict mode in every window.
+// requireWithinBound asserts that the units consumed in every 5 s window stay within the bound of strict mode.
 func (c *cluster) requireWithinBound(rate, burst float64) {
 	c.t.Helper()
 	first := 0
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound and against unused quota. All gateways together receive
-// requests for more than the quota. In some cases datagrams are lost and duplicated.
+// TestBoundHoldsWhenAllGatewaysAsk guards against consumption above the bound of strict mode and against unused quota. All gateways
+// together receive requests for more than the quota. In some cases datagrams are lost and duplicated.
 func TestBoundHoldsWhenAllGatewaysAsk(t *testing.T) {
 	for _, n := range []int{2, 3, 12} {
 		for _, lossRate := range []float64{0, 0.2} {
@@ -153,13 +153,13 @@
 			c.runWithRandomRequests(4*time.Second, 0) // the buckets fill
 			c.runWithRandomRequests(10*time.Second, 400/float64(n))
 			c.requireWithinBound(40, 60)
-			must.Greater(t, 0.8*(40*10+60), float64(len(c.consumed)), must.Sprint("units consumed, which must be most of the quota"))
+			must.Greater(t, 0.8*(40*10+60), float64(len(c.consumed)), must.Sprint("units consumed in 10 s, which must be more than 80 % of the quota"))
 		}
 	}
 }
 
-// TestRestartsGrantNoNewShare guards against a restarted gateway that may consume units which it has already consumed in its former
-// epoch. The owner or another gateway restarts repeatedly.
+// TestRestartsGrantNoNewShare guards against a gateway that consumes the same units before and after a restart. The owner or another
+// gateway restarts repeatedly.
 func TestRestartsGrantNoNewShare(t *testing.T) {
 	c := newCluster(t, 3, 40, 60)
 	for epoch := int64(1); epoch < 12; epoch++ {
@@ -188,7 +188,7 @@
 	}
 	c.runWithRandomRequests(20*time.Second, 60)
 	one := c.runWithRandomRequests(10*time.Second, 60, c.nonOwnerID())
-	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("units consumed by one gateway during the partition"))
+	must.Between(t, 10*40/3-15, one, 10*40/3+15, must.Sprint("units consumed in 10 s by one gateway during the partition"))
 	c.setIsolated(c.ownerID(), false)
 	for i := range c.limiters {
 		c.setReachable(control.GatewayID(i), func(control.GatewayID) bool { return false })
@@ -197,11 +197,11 @@
 	c.requireWithinBound(40, 60)
 	before := len(c.consumed)
 	c.runWithRandomRequests(5*time.Second, 60)
-	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("units consumed after the partition"))
+	must.Greater(t, 150, len(c.consumed)-before, must.Sprint("units consumed in 5 s after the partition"))
 }
 
-// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost as owners change. Gateways are added, and
-// not all gateways learn of the addition at the same time. A new owner's bucket starts empty. Units that the former owner has not
+// TestBoundHoldsWhileGatewaysAreAdded guards against units that are consumed twice or lost when owners change. Gateways are added, and
+// the gateways learn of the addition at different times. A new owner's bucket starts empty. Units that the former owner has not
 // acknowledged are reported to the new owner.
 func TestBoundHoldsWhileGatewaysAreAdded(t *testing.T) {
 	c := newCluster(t, 2, 40, 60)
@@ -234,8 +234,8 @@
 	own.refillBucket(own.accounts[watchedCustomer])
 	must.Between(t, 14, own.accounts[watchedCustomer].level, 16)
 
-	// Only the reporter knows the limit of this customer. The owner neither applies nor acknowledges the customer's delta until it knows the
-	// limit.
+	// Only the reporter knows the limit of lateCustomer. Until the owner knows the limit, the owner neither applies nor acknowledges a delta
+	// of lateCustomer.
 	lateCustomer := control.CustomerID(0)
 	for lateCustomer = 1; OwnerOf(lateCustomer, 0, 2, 2) != c.ownerID() || lateCustomer == watchedCustomer; lateCustomer++ {
 	}
@@ -249,7 +249,7 @@
 	c.runWithRandomRequests(5*time.Second, 0)
 	must.Eq(t, 0, other.accounts[lateCustomer].unacked)
 
-	// The owner stops metering the customer before the reporter does.
+	// The owner stops the metering of lateCustomer, and the reporter still meters lateCustomer.
 	own.SetLimit(lateCustomer, 0, 0)
 	other.Consume(lateCustomer, 2)
 	c.runWithRandomRequests(time.Second, 0)
@@ -271,8 +271,8 @@
 	must.Greater(t, 80, len(c.consumed))
 }
 
-// TestSmallQuotaIsUsableByManyGateways guards against splitting a unit into fractions that cover no request. Each unit must be
-// granted as a whole to one gateway after the other.
+// TestSmallQuotaIsUsableByManyGateways guards against a small quota that is split into parts of less than one unit, which cover no request.
+// The owner must grant whole units.
 func TestSmallQuotaIsUsableByManyGateways(t *testing.T) {
 	c := newCluster(t, 12, 2, 3)
 	c.runWithRandomRequests(5*time.Second, 0)
@@ -361,7 +361,8 @@
 			c := newCluster(t, n, rate, rate)
 			c.runWithPendingRequests(6*time.Second, 0, 0) // the buckets fill
 			allowed, exceeded := c.runWithPendingRequests(30*time.Second, rate/1.6, 800*time.Millisecond)
-			must.Greater(t, 12*exceeded, allowed, must.Sprintf("gateways=%d rate=%v: rejected %d of %d requests", n, rate, exceeded, allowed+exceeded))
+			must.Greater(t, 12*exceeded, allowed, must.Sprintf("gateways=%d rate=%v units a second: rejected %d of %d requests, which must be fewer than one in 13",
+				n, rate, exceeded, allowed+exceeded))
 		}
 	}
 }
@@ -377,9 +378,9 @@
 		c := newClusterOf(t, 300, 290, 290, config)
 		c.runWithPendingRequests(6*time.Second, 0, 0)
 		allowed, exceeded := c.runWithPendingRequests(12*time.Second, 180, 480*time.Millisecond)
-		t.Logf("%v datagrams a second: rejected %d of %d requests", datagrams, exceeded, allowed+exceeded)
+		t.Logf("the owner can receive %v datagrams a second: rejected %d of %d requests", datagrams, exceeded, allowed+exceeded)
 		return exceeded
 	}
-	must.Less(t, 10, rejectedCount(2000))   // of about 2,100 requests
-	must.Greater(t, 40, rejectedCount(400)) // 400 is the former setting of a node
+	must.Less(t, 10, rejectedCount(2000))   // fewer than 10 of about 2,100 requests
+	must.Greater(t, 40, rejectedCount(400)) // more than 40 requests; 400 is the former setting of a node
 }
--- a/control/quota/recorded_test.go
+++ b/control/quota/recorded_test.go
@@ -14,11 +14,11 @@
 	"clovergap/control"
 )
 
-// The tests in this file compare decisions and datagrams with digests that were recorded on 2 December 2026. The runs include lost
-// datagrams, pauses and restarts. A refactoring must not change the digests. A change that is meant to change decisions must record
-// new digests.
+// The tests in this file compare decisions and datagrams with digests that were recorded on 2 December 2026. The simulated runs include
+// lost datagrams, pauses and restarts of limiters. A refactoring must not change the digests. A change that is meant to change decisions
+// must record new digests.
 
-// recorder computes the digest of a sequence of decisions.
+// recorder computes the digest of a sequence of decisions. The digest has the number of addValues calls and a hash.
 type recorder struct {
 	hash.Hash64
 	count int
@@ -42,12 +42,12 @@
 	return 0
 }
 
-// decisionsDigest runs five limiters, isolates and restarts some of them, and adds a limiter. It returns the digest of all decisions
-// and messages.
+// decisionsDigest runs five limiters for 60 s of simulated time. Some limiters are isolated or restarted, and a sixth limiter is added. The
+// result is the digest of all decisions and messages.
 func decisionsDigest(seed int64, config Config) string {
 	type sent struct {
 		from, to control.GatewayID
-		at       time.Duration
+		at       time.Duration // time of arrival
 		payload  []byte
 	}
 	const customers = 12
@@ -152,10 +152,10 @@
 		seed   int64
 		want   string
 	}{
-		{"strict", gatewayConfig, 1, "141726 99c9d93c34a0c060"},
-		{"strict, another seed", gatewayConfig, 2, "141732 c11524532d6d5d36"},
-		{"strict, new cluster", newClusterConfig, 3, "196913 bbf527c8f9084487"},
-		{"not strict", shareConfig, 4, "141642 03abd78779a639e1"},
+		{"strict mode, seed 1", gatewayConfig, 1, "141726 99c9d93c34a0c060"},
+		{"strict mode, seed 2", gatewayConfig, 2, "141732 c11524532d6d5d36"},
+		{"strict mode, buckets of a new cluster start with the initial fill", newClusterConfig, 3, "196913 bbf527c8f9084487"},
+		{"without strict mode, buckets of a new cluster start half full", shareConfig, 4, "141642 03abd78779a639e1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, decisionsDigest(tc.seed, tc.config)) })
 	}
--- a/control/quota/versions_test.go
+++ b/control/quota/versions_test.go
@@ -11,7 +11,7 @@
 
 // TestDatagramFormatIsUnchanged guards against a change of the datagram format without a new version number. The test decodes a
 // datagram that was recorded on 2 December 2026 and has every field set. It then encodes the same message. A change of the format
-// needs a new number and code that reads both versions.
+// needs a new version number and code that reads both versions.
 func TestDatagramFormatIsUnchanged(t *testing.T) {
 	const encoded = "02070000001403090280808080200328042f02080605001000000000000b080000000c05000000018080808020940203021802efcdab160a01000000ff"
 	m := &Message{Epoch: 7, Interval: 20 * time.Millisecond, Age: 3 * time.Second, Seq: 9,
@@ -34,14 +34,14 @@
 	for _, tc := range []struct {
 		name    string
 		sent    Message
-		decoded *Message // nil means that the decoded message equals sent
-		bytes   string
+		decoded *Message // message that DecodeMessage must return; nil means that this message equals sent
+		bytes   string   // encoding of sent in hexadecimal digits
 	}{
 		{"delta alone", Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}, nil, "0201000000000001010100100000000000000000000000000000000000"},
 		{"acknowledgement alone", Message{Epoch: 1, AckEpoch: 2, AckHigh: 40, AckMask: 0xffffffff}, nil, "020100000000000000000200000028ffffffff0000"},
 		{"special ratios", Message{Epoch: 1, Version: 1, Observations: []Observation{{BackendHash: ObservationHashMask, Product: 63, Congestion: Congested, Ratio: ObservedLost}, {Ratio: ObservedFailed},
 			{BackendHash: 2, Congestion: NotCongested, Ratio: 20}}}, nil, "020100000000000000010000000000000000000003fffffffeff00000000fe02000001a0"},
-		{"values above the limits", Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: time.Hour, Seq: 1,
+		{"values above or below the limits of their fields", Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: time.Hour, Seq: 1,
 			Deltas: []Delta{{Customer: 1 << 34, Units: 1 << 20, Transfer: -1 << 20}, {Customer: 2, Units: -1, Transfer: 1 << 20}}},
 			&Message{Epoch: 1<<32 - 1, Interval: 16 * time.Second, Age: 255 * time.Second, Seq: 1,
 				Deltas: []Delta{{Customer: 1 << 34, Units: 1 << 16, Transfer: -1 << 16}, {Customer: 2, Transfer: 1 << 16}}}, "02ffffffff807dff010280808080400080804000ffff7f0000000200000080808001000000000000000000000000000000"},
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestDecodeErrorsAreDistinguishable guards against one error for two causes. A datagram with an unknown format version and a
-// malformed datagram must return different errors.
+// TestDecodeErrorsAreDistinguishable guards against the same error for two causes. DecodeMessage must return different errors for an
+// unknown format version and for a malformed datagram.
 func TestDecodeErrorsAreDistinguishable(t *testing.T) {
 	whole := (&Message{Epoch: 1, Seq: 1, Deltas: []Delta{{Customer: 1, Units: 1}}}).Encode()
 	for _, tc := range []struct {
