--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -76,21 +76,21 @@
 // Guards against a once-only txn that runs twice. Such a txn is retried only if its submission provably did not run.
 func Example_onceOnlyIsRetriedOnlyIfNotRun() {
 	s := newWarmScenario()
-	fmt.Println("# the submission provably did not run: the txn is retried at another backend, then rejected")
+	fmt.Println("# the submissions of txn 1 provably did not run: txn 1 is retried twice, each time at another backend than before, and then rejected")
 	s.addTxn(1, customerOwnedBy(0), 2, 0)
 	s.endSubmission(1, control.Unreachable)
 	s.endSubmission(1, control.Rejected)
 	s.endSubmission(1, control.Rejected)
-	fmt.Println("# the submission may have run: the txn is failed at once")
+	fmt.Println("# the submission of txn 2 may have run: txn 2 is failed at once")
 	s.addTxn(2, customerOwnedBy(0), 2, 0)
 	s.endSubmission(2, control.Errored)
 	// Output:
-	// # the submission provably did not run: the txn is retried at another backend, then rejected
+	// # the submissions of txn 1 provably did not run: txn 1 is retried twice, each time at another backend than before, and then rejected
 	// 10000 ms: submit txn 1 to backend 1
 	// 10000 ms: submit txn 1 to backend 3
 	// 10000 ms: submit txn 1 to backend 1
 	// 10000 ms: reject txn 1, Decision.After=2000 ms
-	// # the submission may have run: the txn is failed at once
+	// # the submission of txn 2 may have run: txn 2 is failed at once
 	// 10000 ms: submit txn 2 to backend 2
 	// 10000 ms: fail txn 2
 }
@@ -99,28 +99,28 @@
 // scope of the product is a pod, the txn is also retried only in the pod of the first submission that may have run.
 func Example_referencedIsRetriedInScopeAndWindow() {
 	s := newWarmScenario()
-	fmt.Println("# retries stay in the pod of the first submission that may have run")
+	fmt.Println("# the product of txn 1 has the repeat scope pod: retries stay in the pod of the first submission that may have run")
 	s.addTxn(1, customerOwnedBy(0), 1, 0)
 	s.endSubmission(1, control.ConnectionLost)
 	s.endSubmission(1, control.ConnectionLost)
-	fmt.Println("# after its window, the txn is failed")
+	fmt.Println("# the repeat window of the product is over: txn 2 is failed and not retried")
 	s.addTxn(2, customerOwnedBy(0), 1, 0)
 	s.controller.products[1].repeatWindow = 0
 	s.endSubmission(2, control.ConnectionLost)
-	fmt.Println("# the product allows repeats at all backends: the txn is rejected after its last submission")
+	fmt.Println("# the product of txn 3 has the repeat scope all: a retry may go to any backend, and txn 3 is rejected after three submissions")
 	s.addTxn(3, customerOwnedBy(0), 3, 0)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
 	s.endSubmission(3, control.ConnectionLost)
 	// Output:
-	// # retries stay in the pod of the first submission that may have run
+	// # the product of txn 1 has the repeat scope pod: retries stay in the pod of the first submission that may have run
 	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
 	// 10000 ms: submit txn 1 to backend 2, Decision.After=496 ms
 	// 10000 ms: submit txn 1 to backend 1, Decision.After=496 ms
-	// # after its window, the txn is failed
+	// # the repeat window of the product is over: txn 2 is failed and not retried
 	// 10000 ms: submit txn 2 to backend 1, Decision.After=446 ms
 	// 10000 ms: fail txn 2
-	// # the product allows repeats at all backends: the txn is rejected after its last submission
+	// # the product of txn 3 has the repeat scope all: a retry may go to any backend, and txn 3 is rejected after three submissions
 	// 10000 ms: submit txn 3 to backend 1, Decision.After=446 ms
 	// 10000 ms: submit txn 3 to backend 3, Decision.After=496 ms
 	// 10000 ms: submit txn 3 to backend 1, Decision.After=496 ms
@@ -418,7 +418,7 @@
 	// 10000 ms: reject txn 3, Decision.After=2000 ms
 }
 
-// Guards against txns beyond the quota that use up capacity which other txns need.
+// Guards against txns that exceed the quota of their customer and use up capacity that other txns need.
 func Example_exceedQuotaWithSpareCapacity() {
 	s := newWarmScenario()
 	s.controller.plans[0].overQuotaValue, s.controller.plans[0].overQuotaCost = 0.3, 0
@@ -800,7 +800,7 @@
 	s.endSubmission(1, control.Succeeded)
 	s.addTxn(2, other, 0, 0)
 	s.endSubmission(2, control.Succeeded)
-	for i := 1; i <= 3; i++ { // a peer still consumes units of the bucket, while this front door gets no txns of the customer
+	for i := 1; i <= 3; i++ { // a peer consumes units of the bucket, and this front door gets no more txns of the customer
 		s.advanceTo(10000 + 4000*i)
 		s.receiveMessage(1, &quota.Message{Epoch: 7, AckEpoch: s.controller.quota.Epoch(), AckHigh: 9, AckMask: 1<<32 - 1, Seq: uint64(i),
 			Deltas: []quota.Delta{{Customer: mine, Units: 15, SetWidth: 3}}})
--- a/control/loadbalancer/ejection.go
+++ b/control/loadbalancer/ejection.go
@@ -71,7 +71,8 @@
 	return true
 }
 
-// mayProbe reports whether a backend may be probed now. Only ejected backends are probed, unless load reports come with probes.
+// mayProbe reports whether a backend may be probed now. If load reports come with probes, each backend may be
+// probed. If load reports come with responses to txns, only ejected backends are probed.
 func (c *Controller) mayProbe(b *backend) bool {
 	return (c.loadReportsByProbe || b.ejected && c.probesAllowed) && !b.probing && c.now >= b.nextProbeAt
 }
--- a/control/loadbalancer/outcome.go
+++ b/control/loadbalancer/outcome.go
@@ -102,10 +102,10 @@
 // recordProductResult updates the failure share of one product at a backend and excludes the backend for that product if the share is
 // too high. failed is 1 for a failed submission and 0 for any other submission. Each exclusion lasts twice as long as the exclusion
 // before. After the exclusion, the product's txns use the backend again. If a product fails equally at all backends, no backend is at
-// fault and none is excluded. The exclusion applies to a backend that quickly responds with errors for all products, and to a product
-// that fails at only one backend.
-func (c *Controller) recordProductResult(p control.ProductID, b *backend, failed float64) {
-	f, fleet := &b.failures[p], &c.fleetFailures[p]
+// fault and none is excluded. Exclusion serves for two faults. In the first, a backend quickly responds with errors for all products. In
+// the second, a product fails at only one backend.
+func (c *Controller) recordProductResult(product control.ProductID, b *backend, failed float64) {
+	f, fleet := &b.failures[product], &c.fleetFailures[product]
 	f.samples = min(f.samples+1, maxFailureSamples)
 	f.share += (failed - f.share) / f.samples
 	fleet.share += fleetSmoothing * (failed - fleet.share)
--- a/control/loadbalancer/pick.go
+++ b/control/loadbalancer/pick.go
@@ -176,9 +176,9 @@
 }
 
 // refillWarmUpTokens refills the budget of submissions to a backend that is warming up, up to the present, and returns the number of
-// tokens. In each overload window, the budget earns tokens at this front door's rate to a warm backend, multiplied by the warm-up
+// tokens. The number of tokens earned per second is this front door's rate of responses from one warm backend, multiplied by the warm-up
 // share of the backend, overloadFactor and warmUpBudgetShare. So all front doors together stay below the rate that would overload the
-// backend.
+// backend. The tokens of half an overload window can be saved up.
 func (c *Controller) refillWarmUpTokens(b *backend) float64 {
 	minRate := warmUpBudgetShare / float64(c.gateways) / c.longestAssumedLatency()
 	rate := b.warmUpShare * max(c.warmRate, minRate) * c.overloadFactor * warmUpBudgetShare
--- a/control/loadbalancer/scenario_test.go
+++ b/control/loadbalancer/scenario_test.go
@@ -99,12 +99,12 @@
 	}
 }
 
-// drainBucket consumes units of a customer until the given number of units is left in the customer's bucket. The customer must have plan
-// 0, and this gateway must own the bucket. The bucket must hold at least the given number of units.
-func (s *scenario) drainBucket(c control.CustomerID, left float64) {
-	s.controller.quota.EnsureAccount(c, 0, 0, 3)
-	state, _ := s.controller.quota.AccountState(c)
-	s.controller.quota.Consume(c, state.Level-left)
+// drainBucket consumes units of a customer until unitsLeft units are left in the customer's bucket. The customer must have plan 0, and
+// this gateway must own the bucket. The bucket must hold at least unitsLeft units.
+func (s *scenario) drainBucket(customer control.CustomerID, unitsLeft float64) {
+	s.controller.quota.EnsureAccount(customer, 0, 0, 3)
+	state, _ := s.controller.quota.AccountState(customer)
+	s.controller.quota.Consume(customer, state.Level-unitsLeft)
 }
 
 // receiveMessage delivers a message from a peer and prints the decisions.
--- a/control/quota/account.go
+++ b/control/quota/account.go
@@ -103,10 +103,10 @@
 // assignOwner sets the gateways that may serve a customer and computes the owner of the customer's bucket. A negative first gateway
 // counts as 0, and a first gateway that is too high is reduced modulo the number of gateways. The width is limited to the range from 1
 // to the number of gateways.
-func (l *Limiter) assignOwner(a *Account, first control.GatewayID, width int) {
-	width = min(max(width, 1), l.gatewayCount)
-	first = control.GatewayID(max(int(first), 0) % l.gatewayCount)
-	if a.setAssigned && a.setFirst == first && a.setWidth == width {
+func (l *Limiter) assignOwner(a *Account, setFirst control.GatewayID, setWidth int) {
+	setWidth = min(max(setWidth, 1), l.gatewayCount)
+	setFirst = control.GatewayID(max(int(setFirst), 0) % l.gatewayCount)
+	if a.setAssigned && a.setFirst == setFirst && a.setWidth == setWidth {
 		return
 	}
 	// The earlier set may be the one that a delta of a peer named. The share of the hard limit that was computed from the earlier set
@@ -114,21 +114,21 @@
 	if a.setAssigned {
 		a.hardShare, a.hardShareAt = 0, l.now
 	}
-	a.setAssigned, a.setFirst, a.setWidth, a.reporterCount = true, first, width, width
-	a.owner = OwnerOf(a.id, first, a.setWidth, l.gatewayCount)
-	a.inSet = (int(l.self-first)%l.gatewayCount+l.gatewayCount)%l.gatewayCount < a.setWidth
+	a.setAssigned, a.setFirst, a.setWidth, a.reporterCount = true, setFirst, setWidth, setWidth
+	a.owner = OwnerOf(a.id, setFirst, a.setWidth, l.gatewayCount)
+	a.inSet = (int(l.self-setFirst)%l.gatewayCount+l.gatewayCount)%l.gatewayCount < a.setWidth
 	if a.owner != l.self {
 		a.level, a.hasSnapshot = 0, false
 	}
 }
 
-// OwnerOf returns the gateway that owns a customer's bucket. The set of gateways that serve the customer starts at first and has the
-// given width. The owner is the gateway of the set with the highest hash (rendezvous hashing), so all gateways compute the same owner.
-func OwnerOf(c control.CustomerID, first control.GatewayID, width, gateways int) (owner control.GatewayID) {
+// OwnerOf returns the gateway that owns a customer's bucket. The set of gateways that serve the customer starts at setFirst and has
+// setWidth gateways. The owner is the gateway of the set with the highest hash (rendezvous hashing), so all gateways compute the same owner.
+func OwnerOf(customer control.CustomerID, setFirst control.GatewayID, setWidth, gatewayCount int) (owner control.GatewayID) {
 	highest := uint64(0)
-	for i := range width {
-		g := control.GatewayID((int(first) + i) % gateways)
-		if h := control.Hash64(uint64(c)*control.GoldenRatio64 + uint64(g)); h >= highest {
+	for i := range setWidth {
+		g := control.GatewayID((int(setFirst) + i) % gatewayCount)
+		if h := control.Hash64(uint64(customer)*control.GoldenRatio64 + uint64(g)); h >= highest {
 			highest, owner = h, g
 		}
 	}
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -39,8 +39,8 @@
 // With Pending, the returned duration is the clock time until which the request may wait. With Exceeded, the returned duration is the
 // delay after which enough units may be available. Check takes no units. Consume takes them, and Reserve keeps them for a request
 // that has to wait for another resource.
-func (l *Limiter) Check(c control.CustomerID, r Request) (Outcome, time.Duration) {
-	a := l.accounts[c]
+func (l *Limiter) Check(customer control.CustomerID, r Request) (Outcome, time.Duration) {
+	a := l.accounts[customer]
 	if a == nil {
 		return Allowed, 0
 	}
@@ -211,7 +211,8 @@
 
 // burstShare returns the number of units that this gateway may consume against a snapshot before the owner acknowledges the units. The
 // result is the lesser of the burst and lowLevelFactor times the snapshot's level, divided by the number of recent reporters. The
-// result is at least requestUnits, so that one request is never larger than the burst share.
+// result is at least requestUnits, so that one request is never larger than the burst share. If there is no snapshot, the result depends
+// only on the burst.
 func (a *Account) burstShare(requestUnits float64) float64 {
 	left := a.limit.Burst
 	if a.hasSnapshot {
--- a/control/quota/consume.go
+++ b/control/quota/consume.go
@@ -3,8 +3,8 @@
 import "clovergap/control"
 
 // Reserve sets aside units that Check allowed, for a request that still waits for another resource. Release ends the reservation.
-func (l *Limiter) Reserve(c control.CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
+func (l *Limiter) Reserve(customer control.CustomerID, units float64) {
+	if a := l.accounts[customer]; a != nil {
 		l.reserve(a, units)
 	}
 }
@@ -15,16 +15,16 @@
 }
 
 // Release ends a reservation of the given units. The caller then calls Consume or gives up the request.
-func (l *Limiter) Release(c control.CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
+func (l *Limiter) Release(customer control.CustomerID, units float64) {
+	if a := l.accounts[customer]; a != nil {
 		a.reserved = max(0, a.reserved-units)
 		a.reservations--
 	}
 }
 
 // Consume takes units that Check allowed. It is called once for each request, when the request is forwarded.
-func (l *Limiter) Consume(c control.CustomerID, units float64) {
-	if a := l.accounts[c]; a != nil {
+func (l *Limiter) Consume(customer control.CustomerID, units float64) {
+	if a := l.accounts[customer]; a != nil {
 		l.consume(a, units)
 	}
 }
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -32,8 +32,8 @@
 //     bound. Strict mode adds the allowance, the withheld part and grants of bucket units.
 //   - grant: units that the owner sets aside for one gateway that has a pending request.
 //   - allowance: units that a gateway may consume without the owner's knowledge (strict mode).
-//   - withheld part: the part of the refill that belongs to a reporter whose messages have stopped. The owner keeps this part out of the bucket
-//     until a message from the reporter arrives or the reporter is known to be lost (strict mode).
+//   - withheld part: the part of the refill that belongs to a reporter whose messages have stopped. The owner keeps this part out of the
+//     bucket until a message from the reporter arrives or the reporter is known to be lost (strict mode).
 //   - isolated gateway: a gateway that gets no answers from the owner of a bucket.
 //   - hard limit: a second rate and burst, which are split over the gateways. The sum of the shares never exceeds the rate and the burst,
 //     whatever messages are lost and whichever gateways restart. The owner's share includes a pool, from which it grants units to others.
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -59,7 +59,7 @@
 
 // Limiter meters all customers for one gateway. A Limiter holds the token buckets that this gateway owns. Of every other bucket, it
 // holds the last snapshot, which is the state that the owning gateway sent. A Limiter creates the messages to other gateways and
-// applies the messages from them. A Limiter is not safe for concurrent use. All times are those of the host's clock.
+// applies the messages from them. A Limiter is not safe for concurrent use. All times are on the host's clock.
 type Limiter struct {
 	config  Config
 	options PlanLimiterOptions // PlanLimit is nil if limits are set by SetLimit
@@ -101,32 +101,32 @@
 // NewLimiter returns the limiter of gateway self in a cluster of the given number of gateways. Limits are set by SetLimit, and every
 // gateway may serve every customer. The epoch, which identifies this run of the process, is derived from the seed. So no two runs of a
 // gateway may have the same seed.
-func NewLimiter(seed int64, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
-	invariant.Assert(self >= 0 && int(self) < gateways, "the gateway ID is below the number of gateways")
+func NewLimiter(seed int64, self control.GatewayID, gatewayCount int, now time.Duration, config Config) *Limiter {
+	invariant.Assert(self >= 0 && int(self) < gatewayCount, "the gateway ID is below the number of gateways")
 	invariant.Assert(config.MinInterval > 0 && config.SnapshotTTL > 0 && config.DatagramsPerSecond > 0,
 		"MinInterval, SnapshotTTL and DatagramsPerSecond are above 0")
-	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gateways, now, config)
+	l := newLimiter(rand.New(rand.NewSource(seed)).Uint32()|1, self, gatewayCount, now, config)
 	l.options.PeersEnabled, l.sweptAt = true, now
 	return l
 }
 
 // NewPlanLimiter returns the limiter of a front door. Each customer has the limits of its plan. The set of gateways that serve a
 // customer is named by each txn. The epoch identifies this run of the process and must not be 0.
-func NewPlanLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config, options PlanLimiterOptions) *Limiter {
-	l := newLimiter(epoch, self, gateways, now, config)
+func NewPlanLimiter(epoch uint32, self control.GatewayID, gatewayCount int, now time.Duration, config Config, options PlanLimiterOptions) *Limiter {
+	l := newLimiter(epoch, self, gatewayCount, now, config)
 	l.options = options
 	return l
 }
 
-func newLimiter(epoch uint32, self control.GatewayID, gateways int, now time.Duration, config Config) *Limiter {
+func newLimiter(epoch uint32, self control.GatewayID, gatewayCount int, now time.Duration, config Config) *Limiter {
 	l := &Limiter{
-		config: config, epoch: epoch, self: self, gatewayCount: gateways, reachableCount: gateways,
+		config: config, epoch: epoch, self: self, gatewayCount: gatewayCount, reachableCount: gatewayCount,
 		now: now, startedAt: now, ownersAssignedAt: now,
 		interval: config.MinInterval, maxDatagrams: max(1, datagramShare*config.DatagramsPerSecond),
 		accounts:  map[control.CustomerID]*Account{},
 		removedAt: map[control.CustomerID]time.Duration{},
 	}
-	for i := range gateways {
+	for i := range gatewayCount {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
 	return l
@@ -143,15 +143,15 @@
 
 // SetLimit sets a customer's rate in units a second and its burst in units. A lower burst reduces the level at once. After a higher
 // burst, the bucket fills at the rate. A rate of 0 or below stops the metering of the customer. A customer ID above 1<<34 is not allowed.
-func (l *Limiter) SetLimit(c control.CustomerID, rate, burst float64) {
-	invariant.Assert(l.options.PlanLimit == nil && c <= 1<<34, "SetLimit is called only on a limiter without plans, and the customer ID is at most 1<<34")
-	a := l.accounts[c]
+func (l *Limiter) SetLimit(customer control.CustomerID, rate, burst float64) {
+	invariant.Assert(l.options.PlanLimit == nil && customer <= 1<<34, "SetLimit is called only on a limiter without plans, and the customer ID is at most 1<<34")
+	a := l.accounts[customer]
 	switch {
 	case rate <= 0:
-		l.removeLimit(c)
+		l.removeLimit(customer)
 	case a == nil:
-		delete(l.removedAt, c)
-		a = l.getOrCreateAccount(c, 0)
+		delete(l.removedAt, customer)
+		a = l.getOrCreateAccount(customer, 0)
 		a.limit = &Limit{Rate: rate, Burst: burst}
 		a.level, a.levelAt = l.initialLevel(a), max(l.now, l.ownersAssignedAt+l.config.OwnershipDelay)
 		l.assignOwner(a, 0, l.gatewayCount)
@@ -165,13 +165,13 @@
 }
 
 // removeLimit stops the metering of a customer and records the time at which it stopped.
-func (l *Limiter) removeLimit(c control.CustomerID) {
-	if a := l.accounts[c]; a != nil {
+func (l *Limiter) removeLimit(customer control.CustomerID) {
+	if a := l.accounts[customer]; a != nil {
 		l.cancelReports(a)
-		delete(l.accounts, c)
+		delete(l.accounts, customer)
 		l.orderedAccounts = slices.DeleteFunc(l.orderedAccounts, func(o *Account) bool { return o == a })
 	}
-	l.removedAt[c] = l.now
+	l.removedAt[customer] = l.now
 }
 
 // SetReachable sets which gateways this gateway can reach, indexed by gateway ID. Gateways beyond the end of the list count as
@@ -219,25 +219,25 @@
 // reported to the new owner. If the old owner has applied these units without acknowledging them, the units count twice, and the
 // customer has too few units for a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner
 // continues to grant units. So gateways must be added only while all gateways can reach each other.
-func (l *Limiter) Grow(self control.GatewayID, gateways int) {
-	invariant.Assert(gateways >= l.gatewayCount && int(self) < gateways, "gateways is at least the current number of gateways, and self is below gateways")
+func (l *Limiter) Grow(self control.GatewayID, gatewayCount int) {
+	invariant.Assert(gatewayCount >= l.gatewayCount && int(self) < gatewayCount, "gatewayCount is at least the current number of gateways, and self is below gatewayCount")
 	previousSelf := l.self
-	if self == previousSelf && gateways == l.gatewayCount {
+	if self == previousSelf && gatewayCount == l.gatewayCount {
 		return
 	}
-	for i := len(l.peers); i < gateways; i++ {
+	for i := len(l.peers); i < gatewayCount; i++ {
 		l.peers = append(l.peers, &peer{id: control.GatewayID(i)})
 	}
 	if self != previousSelf {
 		l.epoch += 2 // a new epoch, so that peers treat this gateway as one that has just started
 	}
 	allReachable, delay := l.reachableCount == l.gatewayCount, l.config.OwnershipDelay
-	if l.gatewayCount == 1 && int(self) < gateways-1 {
+	if l.gatewayCount == 1 && int(self) < gatewayCount-1 {
 		delay = 0 // this gateway has restarted under an ID that its peers know, and the peers report to no other owner
 	}
-	l.self, l.gatewayCount, l.ownersAssignedAt = self, gateways, l.now+delay-l.config.OwnershipDelay
-	if l.reachableCount = min(l.reachableCount, gateways); allReachable {
-		l.reachableCount = gateways
+	l.self, l.gatewayCount, l.ownersAssignedAt = self, gatewayCount, l.now+delay-l.config.OwnershipDelay
+	if l.reachableCount = min(l.reachableCount, gatewayCount); allReachable {
+		l.reachableCount = gatewayCount
 	}
 	for _, a := range l.orderedAccounts {
 		l.reassignOwner(a, previousSelf, delay)
@@ -386,8 +386,8 @@
 }
 
 // AccountState returns an excerpt of a customer's account, and false if there is no account.
-func (l *Limiter) AccountState(c control.CustomerID) (AccountState, bool) {
-	a := l.accounts[c]
+func (l *Limiter) AccountState(customer control.CustomerID) (AccountState, bool) {
+	a := l.accounts[customer]
 	if a == nil {
 		return AccountState{}, false
 	}
--- a/control/quota/plans_test.go
+++ b/control/quota/plans_test.go
@@ -66,6 +66,8 @@
 	}
 }
 
+// Guards against a hard limit that is exceeded because a grant is applied twice, is applied in another epoch, or is larger than the
+// owner's pool.
 func Example_hardLimitPoolGrants() {
 	s := newPlanScenario()
 	c := customerOwnedBy(1)
@@ -117,6 +119,8 @@
 	// units requested: 1.5, units granted: 1.5
 }
 
+// Guards against messages that change when they are encoded and decoded, and against malformed datagrams that change the state of the
+// limiter.
 func Example_messageEncodingAndMalformedDatagrams() {
 	maxValue := 1<<20 - 1
 	m := &Message{Epoch: 1<<32 - 1, Interval: maxInterval, Seq: 1 << 40, Version: 1 << 40, AckEpoch: 1<<32 - 1, AckHigh: 1 << 40,
@@ -142,6 +146,8 @@
 	// all of them are counted as bad datagrams; number of accounts; time of the peer's last valid datagram (0s if none): true 0 0s
 }
 
+// Guards against a hard limit that is exceeded because a peer's delta names the wrong gateways for a customer. The gateways that a txn
+// names must replace the gateways that the delta names.
 func Example_txnReplacesWrongSetOfPeer() {
 	s := newPlanScenario()
 	c := customerOwnedBy(0)
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -49,11 +49,12 @@
 
 	// maxStartSkew is the largest difference between the start times of gateways that are started together.
 	maxStartSkew = 2 * time.Second
-	// minYoungPeers is the number of young peers that, without any older peer, prove that the cluster is new. In a smaller cluster,
-	// all peers must be young.
+	// minYoungPeers is the number of young peers that prove that the cluster is new if there is no older peer. A young peer was started
+	// at about the same time as this gateway or later. In a cluster with fewer peers, all peers must be young.
 	minYoungPeers = 3
 
-	// hardEvenShare is the share of the hard limit that is split evenly over the set. The rest is the owner's pool.
+	// hardEvenShare is the share of the hard limit that is split evenly over the gateways of the customer's set. The rest is the
+	// owner's pool.
 	hardEvenShare = 0.5
 )
 
