--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -220,7 +220,8 @@
 // customer has too few units for a short time. Grants of the old owner are void. An old owner that is partitioned from the new owner
 // continues to grant units. So gateways must be added only while all gateways can reach each other.
 func (l *Limiter) Grow(self control.GatewayID, gatewayCount int) {
-	invariant.Assert(gatewayCount >= l.gatewayCount && int(self) < gatewayCount, "gatewayCount is at least the current number of gateways, and self is below gatewayCount")
+	invariant.Assert(gatewayCount >= l.gatewayCount && int(self) < gatewayCount,
+		"gatewayCount is at least the current number of gateways, and self is below gatewayCount")
 	previousSelf := l.self
 	if self == previousSelf && gatewayCount == l.gatewayCount {
 		return
