--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -86,7 +86,7 @@
 func (s *simulation) scheduleAfter(d time.Duration, j job) { s.events.Add(s.now+d, j) }
 
 // randomTime returns an exponentially distributed time.
-func (s *simulation) randomTime(mean time.Duration) time.Duration {
+func (s *simulation) randomDuration(mean time.Duration) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
@@ -106,7 +106,7 @@
 func (s *simulation) handleEvent(j job) {
 	controller := s.controllers[j.node]
 	if j.kind == "submissionArrives" || j.kind == "processed" {
-		s.handleAtServer(j)
+		s.handleServerEvent(j)
 		return
 	}
 	controller.Now(s.now)
@@ -116,7 +116,7 @@
 		if kind > 1 {
 			rate *= addedRouteShare
 		}
-		s.scheduleAfter(s.randomTime(time.Duration(float64(time.Second)/rate)), j)
+		s.scheduleAfter(s.randomDuration(time.Duration(float64(time.Second)/rate)), j)
 		s.lastTxn++
 		s.routeOf[s.lastTxn] = kind
 		s.requested[kind]++
@@ -182,7 +182,7 @@
 }
 
 // handleAtServer processes an event at a server.
-func (s *simulation) handleAtServer(j job) {
+func (s *simulation) handleServerEvent(j job) {
 	server := s.servers[j.backend-1]
 	if server.unresponsive {
 		return
@@ -212,7 +212,7 @@
 // startProcessing starts the processing of a submission at a server.
 func (s *simulation) startProcessing(server *server, j job) {
 	server.busy++
-	d := time.Duration(float64(s.randomTime(s.meanServiceTime)) * server.speed)
+	d := time.Duration(float64(s.randomDuration(s.meanServiceTime)) * server.speed)
 	j.kind = "processed"
 	server.busyTime += d
 	s.scheduleAfter(d, j)
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -14,7 +14,7 @@
 	if backend == nil {
 		return
 	}
-	locality, stride := b.locality(backend.Zone), b.stride(now, backend, r)
+	locality, stride := b.locality(backend.Zone), b.strideOf(now, backend, r)
 	backend.pass = max(backend.pass, b.virtualTime[locality]-maxLag*stride)
 	b.virtualTime[locality] = max(b.virtualTime[locality], backend.pass)
 	backend.pass += stride
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -91,7 +91,7 @@
 			result.anyBusy = true
 			continue
 		}
-		stride, locality := b.stride(now, backend, r), b.locality(backend.Zone)
+		stride, locality := b.strideOf(now, backend, r), b.locality(backend.Zone)
 		pass := max(backend.pass, b.virtualTime[locality]-maxLag*stride) + stride*(float64(backend.inFlight)+b.rng.Float64()/4)
 		if result.next[locality] == nil || pass < result.nextPass[locality] {
 			result.next[locality], result.nextPass[locality] = backend, pass
@@ -138,7 +138,7 @@
 }
 
 // stride returns the distance in virtual time between two requests to a backend, which is the inverse of the backend's share.
-func (b *Balancer) stride(now time.Duration, backend *backendState, r Request) float64 {
+func (b *Balancer) strideOf(now time.Duration, backend *backendState, r Request) float64 {
 	share := 1.0
 	if now < backend.WarmingUntil {
 		share = warmUpShare
--- a/internal/gateway/logentry/dedupwindow.go
+++ b/internal/gateway/logentry/dedupwindow.go
@@ -74,7 +74,7 @@
 // Add records that a request was applied. The request's number must be higher than the number of every request added before.
 func (d *DedupWindow) Add(number uint64, digest Digest) {
 	invariant.Assert(number > d.newestNumber(), "numbers of requests added to a deduplication window increase")
-	d.bytes += encodedSize(number - d.newestNumber())
+	d.bytes += encodedRequestSize(number - d.newestNumber())
 	d.requests = append(d.requests, request{number, digest})
 	d.digests[digest] = struct{}{}
 	for d.bytes > d.maxBytes {
@@ -84,13 +84,13 @@
 
 func (d *DedupWindow) dropOldest() {
 	oldest := d.requests[0]
-	d.bytes -= encodedSize(oldest.number - d.horizon)
+	d.bytes -= encodedRequestSize(oldest.number - d.horizon)
 	delete(d.digests, oldest.digest)
 	d.requests, d.horizon = d.requests[1:], oldest.number
 }
 
 // encodedSize returns the encoded size of a request. difference is the request's number minus the number of the request before it.
-func encodedSize(difference uint64) int {
+func encodedRequestSize(difference uint64) int {
 	return len(binary.AppendUvarint(nil, difference)) + len(Digest{})
 }
 
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -30,14 +30,14 @@
 // the seeds have stored it. So only the founders of a single cluster can be sent to nodes that are not seeds. A seed without a disk
 // cannot store a list. While such a seed is live, it counts as if it had stored every list.
 func (r *Roster) MaySendFounders(clusterID uint64, addr string) bool {
-	holding := 0
+	seedsWithList := 0
 	for _, seed := range r.config.Seeds {
 		n, ok := r.Node(seed)
 		if ok && (n.Disk != 0 && n.ClusterID == clusterID || n.Disk == 0 && r.IsLive(seed)) {
-			holding++
+			seedsWithList++
 		}
 	}
-	return 2*holding > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
+	return 2*seedsWithList > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
 }
 
 // knowsExistingCluster reports whether any node from which this node has a hello holds a state of the core.
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -80,7 +80,7 @@
 }
 
 // hasSlot reports whether a bit set contains a slot.
-func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
+func containsSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
 
 // slotSet returns the bit set of the slots for whose holder's address include returns true.
 func (r *Roster) slotSet(include func(addr string) bool) []byte {
@@ -123,7 +123,7 @@
 // isReportedLive reports whether a node that is reachable has sent, within livenessTimeout, a report that contains a slot.
 func (r *Roster) isReportedLive(s Slot) bool {
 	for from, report := range r.livenessReports {
-		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
+		if containsSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
 			return true
 		}
 	}
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -130,7 +130,7 @@
 
 // ContactSuffices reports whether the contact age suffices for a permission. It does not check whether a configuration is in force.
 func (t *Tracker) ContactSuffices(p Permission, now time.Duration) bool {
-	if t.config.Knobs.grants(p) {
+	if t.config.Knobs.grantsAtAnyAge(p) {
 		return true
 	}
 	r := &rules[p]
@@ -142,7 +142,7 @@
 }
 
 // grants reports whether the knobs grant a permission at any age.
-func (t *TestingKnobs) grants(p Permission) bool {
+func (t *TestingKnobs) grantsAtAnyAge(p Permission) bool {
 	switch p {
 	case AcknowledgeDrain:
 		return t.AckDrainWithoutContact || t.GrantAll
