--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -30,7 +30,7 @@
 }
 
 // advance deposits the refill for the time since the last call and removes tokens older than a window. refill is the number of tokens per window.
-func (r *retryBudget) advance(now time.Duration, refill float64) {
+func (r *retryBudget) advance(now time.Duration, refillPerWindow float64) {
 	sliceLength := r.window / windowSlices
 	for end := time.Duration(r.slice+1) * sliceLength; now >= end; end += sliceLength {
 		if now-end > r.window { // idle for longer than a window: all tokens have expired
@@ -39,11 +39,11 @@
 			end = time.Duration(r.slice) * sliceLength
 			continue
 		}
-		r.tokens[r.slice%windowSlices] += refill * float64(end-r.updatedAt) / float64(r.window)
+		r.tokens[r.slice%windowSlices] += refillPerWindow * float64(end-r.updatedAt) / float64(r.window)
 		r.slice, r.updatedAt = r.slice+1, end
 		r.tokens[r.slice%windowSlices] = 0
 	}
-	r.tokens[r.slice%windowSlices] += refill * float64(now-r.updatedAt) / float64(r.window)
+	r.tokens[r.slice%windowSlices] += refillPerWindow * float64(now-r.updatedAt) / float64(r.window)
 	r.updatedAt = now
 }
 
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -42,9 +42,9 @@
 		}
 		return 0, NoBackend
 	}
-	result := b.findNext(now, r, r.Effectful)
-	if r.Effectful && !result.hasNext() && !result.anyBusy {
-		result = b.findNext(now, r, false)
+	result := b.findNextBackends(now, r, r.Effectful)
+	if r.Effectful && !result.hasAvailableBackend() && !result.anyBusy {
+		result = b.findNextBackends(now, r, false)
 	}
 	local, remote := result.next[ownZone], result.next[otherZones]
 	switch {
@@ -72,12 +72,12 @@
 }
 
 // hasNext reports whether an available backend was found.
-func (s *searchResult) hasNext() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
+func (s *searchResult) hasAvailableBackend() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
 
 // findNext finds the available backend with the lowest pass in this zone and in the other zones. Each request in flight at a backend adds one stride
 // to its pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If
 // excludeFailing is set, backends that are too unreliable for effectful requests count as unhealthy.
-func (b *Balancer) findNext(now time.Duration, r Request, excludeFailing bool) searchResult {
+func (b *Balancer) findNextBackends(now time.Duration, r Request, excludeFailing bool) searchResult {
 	var result searchResult
 	for _, backend := range b.ordered {
 		if !r.mayGoTo(backend) {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -74,9 +74,9 @@
 // Prefers reports whether the node at the address "from" prefers the node at the address "a" to the node at the address "b". A
 // node without a disk uses this order to choose its upstream among nodes that are equally suitable. The upstream is the node whose
 // log stream it applies. Each node has its own order, so that the nodes do not all choose the same upstream.
-func Prefers(from, a, b string) bool {
-	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
-	return x < y || x == y && a < b
+func Prefers(fromAddr, addrA, addrB string) bool {
+	x, y := ringPosition(fromAddr+" "+addrA), ringPosition(fromAddr+" "+addrB)
+	return x < y || x == y && addrA < addrB
 }
 
 // containsSlot reports whether a bit set of slots contains a slot.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -111,24 +111,24 @@
 	return h.Sum64() | 1
 }
 
-func newSimCluster(seeds string, disks ...string) *simCluster {
-	sim := &simCluster{config: Config{strings.Split(seeds, ""), 1, testClusterID}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
+func newSimCluster(seedNames string, diskNodes ...string) *simCluster {
+	sim := &simCluster{config: Config{strings.Split(seedNames, ""), 1, testClusterID}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
-	for i, n := range disks {
+	for i, n := range diskNodes {
 		sim.startNode(n, DiskID(i+1), true)
 	}
 	return sim
 }
 
 // startNode begins an incarnation of a node. The node's disk keeps the founders that were stored in earlier incarnations.
-func (sim *simCluster) startNode(name string, disk DiskID, first bool) *simNode {
+func (sim *simCluster) startNode(name string, disk DiskID, firstStart bool) *simNode {
 	a := sim.nodes[name]
 	if a == nil {
 		a = &simNode{}
 		sim.nodes[name] = a
 		sim.names = append(sim.names, name)
 	}
-	me := Node{Name: name, Addr: name, Disk: disk, FirstStart: first, Incarnation: uint64(sim.now) + 1, Bootstrapped: a.founders != nil}
+	me := Node{Name: name, Addr: name, Disk: disk, FirstStart: firstStart, Incarnation: uint64(sim.now) + 1, Bootstrapped: a.founders != nil}
 	if a.founders != nil {
 		me.ClusterID = testClusterID(a.founders)
 	}
@@ -142,7 +142,7 @@
 }
 
 // step advances the simulation by 200 ms.
-func (sim *simCluster) step() {
+func (sim *simCluster) advanceOneStep() {
 	sim.now += 200 * ms
 	for _, n := range sim.names {
 		a := sim.nodes[n]
@@ -203,18 +203,18 @@
 
 func (sim *simCluster) runUntil(t time.Duration) *simCluster {
 	for sim.now < t {
-		sim.step()
+		sim.advanceOneStep()
 	}
 	return sim
 }
 
 // majorityCount returns the number of lists of founders that more than half of the listed founders have stored.
-func (sim *simCluster) majorityCount() (n int) {
-	holds := map[string]int{}
+func (sim *simCluster) majorityListCount() (n int) {
+	storedCount := map[string]int{}
 	for _, a := range sim.nodes {
 		if a.founders != nil {
 			list := fmt.Sprint(a.founders)
-			if holds[list]++; holds[list] == len(a.founders)/2+1 {
+			if storedCount[list]++; storedCount[list] == len(a.founders)/2+1 {
 				n++
 			}
 		}
@@ -331,18 +331,18 @@
 			sim.dropsBootstrap = func(_, to string) bool { return lossy && sim.now < 7*time.Second && to != "d" }
 			onlyFirstSeedHolds := false
 			for sim.now < 14*time.Second {
-				sim.step()
-				must.LessEq(t, 1, sim.majorityCount(),
+				sim.advanceOneStep()
+				must.LessEq(t, 1, sim.majorityListCount(),
 					must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 				if a := sim.nodes["a"]; sim.now == stopsAt {
 					a.stopped = true
-					onlyFirstSeedHolds = a.founders != nil && sim.majorityCount() == 0
+					onlyFirstSeedHolds = a.founders != nil && sim.majorityListCount() == 0
 				} else if sim.now == stopsAt+800*ms {
 					sim.startNode("a", 1, false)
 				}
 			}
 			if runs++; !onlyFirstSeedHolds {
-				must.Eq(t, 1, sim.majorityCount(),
+				must.Eq(t, 1, sim.majorityListCount(),
 					must.Sprintf("contact times %o (octal, see meetingTimes), seed a stops at %v, bootstrapped by %v", meet, stopsAt, sim.bootstrappers))
 			}
 		}
@@ -425,7 +425,7 @@
 	// reportLiveness runs the simulation for d. At each step the nodes with a disk report to the other nodes which nodes are live.
 	reportLiveness := func(d time.Duration) {
 		for end := sim.now + d; sim.now < end; {
-			sim.step()
+			sim.advanceOneStep()
 			for _, n := range sim.names {
 				if a := sim.nodes[n]; !a.stopped && a.Self().Disk != 0 {
 					for _, o := range sim.names {
@@ -537,8 +537,8 @@
 			return sim.now < partitionedAt || !strings.Contains("ab ac", x+y)
 		}
 		for sim.now < 20*time.Second {
-			sim.step()
-			must.LessEq(t, 1, sim.majorityCount(),
+			sim.advanceOneStep()
+			must.LessEq(t, 1, sim.majorityListCount(),
 				must.Sprintf("seed a partitioned from b and c at %v, founders chosen by %v", partitionedAt, sim.bootstrappers))
 		}
 	}
