--- a/internal/gateway/admission/budget.go
+++ b/internal/gateway/admission/budget.go
@@ -21,7 +21,7 @@
 	window    time.Duration
 	tokens    [windowSlices]float64 // by slice number modulo windowSlices
 	slice     int64                 // number of the present slice
-	updatedAt time.Duration
+	updatedAt time.Duration         // time up to which the refill was deposited
 }
 
 // newRetryBudget returns a budget without tokens.
@@ -29,7 +29,8 @@
 	return &retryBudget{window: window, updatedAt: now, slice: int64(now / (window / windowSlices))}
 }
 
-// advance deposits the refill for the time since the last call and removes tokens older than a window. refill is the number of tokens per window.
+// advance deposits the refill for the time since the last call and removes tokens older than a window. refillPerWindow is the number of tokens that
+// are deposited over one window.
 func (r *retryBudget) advance(now time.Duration, refillPerWindow float64) {
 	sliceLength := r.window / windowSlices
 	for end := time.Duration(r.slice+1) * sliceLength; now >= end; end += sliceLength {
--- a/internal/gateway/admission/canary.go
+++ b/internal/gateway/admission/canary.go
@@ -118,9 +118,9 @@
 }
 
 // fallBackToBaseline moves a request from a canary's queue to the queue of the baseline version. It is called when the time for which the request may
-// wait in the canary's queue has ended. The canary may lack capacity, but the baseline version is not expected to. At the baseline version the
-// request is sent at once or rejected. fallBackToBaseline returns false if the request was sent before or if the baseline version has no ready
-// backend.
+// wait in the canary's queue has ended. The canary may lack capacity, but the baseline version is expected to have enough capacity. At the baseline
+// version the request is sent at once or rejected. fallBackToBaseline returns false if the request was sent before or if the baseline version has no
+// ready backend.
 func (c *Controller) fallBackToBaseline(t *txn) bool {
 	baseline := t.service.baseline
 	if baseline == nil || t.submissions > 0 || baseline.balancer.ReadyCount() == 0 {
--- a/internal/gateway/admission/consequence.go
+++ b/internal/gateway/admission/consequence.go
@@ -65,7 +65,8 @@
 	{control.NotSent, true, true}:          {answer: noFurtherAnswer},
 }
 
-// consequenceOf returns the row of the table for an ending. For an ending without a row it assumes the worst case, that the request may have run.
+// consequenceOf returns the row of the consequences table for an ending. If the table has no row for the ending, consequenceOf assumes the worst case,
+// which is that the request may have run.
 func consequenceOf(ending control.Ending, effectful, answerStarted bool) consequence {
 	if row, ok := consequences[consequenceKey{ending, effectful, answerStarted}]; ok {
 		return row
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -53,7 +53,7 @@
 
 	now            time.Duration
 	periodicWorkAt time.Duration // time of the last round of periodic work
-	sweptAt        time.Duration // last time that unused services were removed
+	sweptAt        time.Duration // time at which unused services were last removed
 	wakeAt         time.Duration // time of the last requested wake-up
 	pausedUntil    time.Duration // end of the last pause of this process
 
--- a/internal/gateway/admission/counts.go
+++ b/internal/gateway/admission/counts.go
@@ -5,7 +5,7 @@
 // counts holds the numbers of events since the last summary in the log.
 type counts struct {
 	arrived             int
-	retried             int                      // submissions after the first of a request
+	retried             int                      // submissions of requests that had been submitted before
 	clientsLeft         int                      // clients that left before the answer
 	clientsLeftInFlight int                      // clients that left while a submission was in flight
 	ranAfterClientLeft  int                      // idempotent requests in flight for more than maxRunAfterClientLeft after the client left
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -39,7 +39,9 @@
 	unresponsive bool          // the server ignores all events
 }
 
-// simulation runs several controllers against queueing servers in simulated time.
+// simulation runs several controllers, one for each node, against servers with queues in simulated time. arrivedAt holds the arrival times of requests
+// without an answer, by node index and request ID. requested and served count requests by product ID. The fields in the last line count requests
+// and submissions of all nodes.
 type simulation struct {
 	now                                                                             time.Duration
 	rng                                                                             *rand.Rand
@@ -92,7 +94,7 @@
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
-// runUntil processes all events up to a time.
+// runUntil processes all events until a simulated time, including the events at that time.
 func (s *simulation) runUntil(until time.Duration) {
 	for {
 		at, _ := s.events.NextDeadline()
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -53,7 +53,7 @@
 type Balancer struct {
 	rng       *rand.Rand
 	zone      control.ZoneID
-	nodes     int // nodes that share the service
+	nodes     int // number of nodes that send requests to the service
 	zoneIndex int // index of this node among the nodes of its zone
 	zoneNodes int // number of nodes in this zone; 0 if unknown
 
@@ -81,7 +81,7 @@
 	crossZoneUpdatedAt   time.Duration // last time that crossZoneShare was updated
 }
 
-// New returns a balancer without backends. nodes is the number of nodes that share the service.
+// New returns a balancer without backends. zone is the zone of this node. nodes is the number of nodes that send requests to the service.
 func New(rng *rand.Rand, zone control.ZoneID, nodes int) *Balancer {
 	return &Balancer{
 		rng: rng, zone: zone, nodes: max(nodes, 1), saturatedAt: -time.Minute,
@@ -91,7 +91,7 @@
 	}
 }
 
-// SetNodes sets the number of nodes that share the service.
+// SetNodes sets the number of nodes that send requests to the service.
 func (b *Balancer) SetNodes(n int) { b.nodes = max(n, 1) }
 
 // SetEndpoint applies one entry of the backend list. A backend that is draining or gone gets no further requests.
@@ -116,6 +116,7 @@
 	b.updateSlots()
 }
 
+// compareID compares the ID of a backend with an ID, for a binary search.
 func compareID(backend *backendState, id control.BackendID) int { return cmp.Compare(backend.ID, id) }
 
 // removeBackend removes a backend from ordered. The backend remains in known until it has no request in flight.
@@ -152,7 +153,7 @@
 	b.capacity = min(max(b.capacity, 1), max(1, maxCapacityFactor*b.slots))
 }
 
-// locality returns ownZone if a zone is this node's zone, and otherZones for all other zones.
+// locality returns the array index for a zone: ownZone if the zone is this node's zone, and otherZones for all other zones.
 func (b *Balancer) locality(zone control.ZoneID) int {
 	if zone == b.zone {
 		return ownZone
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -16,8 +16,8 @@
 	*Balancer
 	now           time.Duration
 	chosen        map[control.BackendID]int            // requests sent by the last sendRequests, by backend
-	responseTimes map[control.BackendID]time.Duration  // 100 ms if not set
-	endings       map[control.BackendID]control.Ending // Succeeded if not set
+	responseTimes map[control.BackendID]time.Duration  // response time of each backend; 100 ms if not set
+	endings       map[control.BackendID]control.Ending // how requests end at each backend; Succeeded if not set
 }
 
 // newFixture returns a fixture with backends 1 to 6. seed is the seed of the random numbers.
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -63,7 +63,7 @@
 	return b.pickLeastFailing(now, r)
 }
 
-// searchResult is the result of findNext.
+// searchResult is the result of findNextBackends.
 type searchResult struct {
 	next        [2]*backendState // available backend with the lowest pass, by ownZone and otherZones; nil if there is none
 	nextPass    [2]float64       // pass of these backends
@@ -71,12 +71,15 @@
 	anyBusy     bool             // there is a healthy backend that is busy
 }
 
-// hasNext reports whether an available backend was found.
-func (s *searchResult) hasAvailableBackend() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
+// hasAvailableBackend reports whether an available backend was found, in this zone or in another zone.
+func (s *searchResult) hasAvailableBackend() bool {
+	return s.next[ownZone] != nil || s.next[otherZones] != nil
+}
 
-// findNext finds the available backend with the lowest pass in this zone and in the other zones. Each request in flight at a backend adds one stride
-// to its pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If
-// excludeFailing is set, backends that are too unreliable for effectful requests count as unhealthy.
+// findNextBackends finds, in this zone and in the other zones, the available backend with the lowest pass. The pass is the point in virtual time at
+// which stride scheduling chooses the backend next, see the package comment. Each request in flight at a backend adds one stride to the backend's
+// pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If excludeFailing is
+// set, backends that are too unreliable for effectful requests count as unhealthy.
 func (b *Balancer) findNextBackends(now time.Duration, r Request, excludeFailing bool) searchResult {
 	var result searchResult
 	for _, backend := range b.ordered {
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -59,9 +59,10 @@
 // for such a seed would never end. In this case the first live seed bootstraps the core after a longer delay. The seed requires at
 // least 2*ToleratedLosses+1 empty disks, so that no earlier core can have acknowledged an entry.
 //
-// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node from which it has a
-// hello holds a state of the core, or knows a node that holds one. A seed also does not bootstrap the core without contact with more
-// than half of the seeds, because the two sides of a partition must not create two clusters (see MaySendFounders).
+// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if it has a hello from a node
+// that holds a state of the core, or from a node that knows of such a node (Hello.ClusterExists). A seed also does not bootstrap the
+// core without contact with more than half of the seeds, because the two sides of a partition must not create two clusters (see
+// MaySendFounders).
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that do not hold a state of the core yet,
 // because a link may have lost the message.
--- a/internal/gateway/membership/hello_test.go
+++ b/internal/gateway/membership/hello_test.go
@@ -39,7 +39,7 @@
 		changes := now + 10*time.Second
 		for end := now + 20*time.Second; now < end; now += refreshInterval {
 			if now == changes {
-				sent = 0 // the next hellos may be lost again
+				sent = 0 // the bits of lost apply again, to the hellos after the change
 				disk.SetCluster(8, 3)
 			}
 			for _, r := range []*Roster{node, disk} {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -71,9 +71,9 @@
 	return addrs[:maxHeartbeatTargets]
 }
 
-// Prefers reports whether the node at the address "from" prefers the node at the address "a" to the node at the address "b". A
-// node without a disk uses this order to choose its upstream among nodes that are equally suitable. The upstream is the node whose
-// log stream it applies. Each node has its own order, so that the nodes do not all choose the same upstream.
+// Prefers reports whether the node at fromAddr prefers the node at addrA to the node at addrB as its upstream. The upstream of a node
+// without a disk is the node with a disk whose log stream it applies. The preference decides only between nodes that are equally
+// suitable. Each node has its own order of preference, so that the nodes do not all choose the same upstream.
 func Prefers(fromAddr, addrA, addrB string) bool {
 	x, y := ringPosition(fromAddr+" "+addrA), ringPosition(fromAddr+" "+addrB)
 	return x < y || x == y && addrA < addrB
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -89,28 +89,31 @@
 type simNode struct {
 	*Roster
 	stopped  bool
-	linkUp   map[string]bool
-	founders []Founder // stored on its disk: the first list of founders that it received
+	linkUp   map[string]bool // whether the link to another node is up, by the other node's address
+	founders []Founder       // the first list of founders that the node received, which is stored on its disk
 }
 
-// simCluster is a simulated deployment.
+// simCluster is a simulated deployment. The name of a node is also its address.
 type simCluster struct {
 	now            time.Duration
 	config         Config
 	nodes          map[string]*simNode
-	names          []string
+	names          []string                   // names of all nodes, in the order of their first start
 	connected      func(a, b string) bool     // returns whether the two nodes can reach each other now
 	dropsBootstrap func(from, to string) bool // returns whether a Bootstrap message is lost
 	proposals      map[string]bool            // all lists of founders that were sent
 	bootstrappers  []string                   // the nodes that chose founders, in order
 }
 
+// testClusterID implements Config.ClusterID with a hash of the list of founders.
 func testClusterID(list []Founder) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, list)
 	return h.Sum64() | 1
 }
 
+// newSimCluster returns a simulated deployment with a node for each name in diskNodes. Each of these nodes has a disk and is at its
+// first start. Each letter of seedNames is the name of a seed.
 func newSimCluster(seedNames string, diskNodes ...string) *simCluster {
 	sim := &simCluster{config: Config{strings.Split(seedNames, ""), 1, testClusterID}, nodes: map[string]*simNode{}, proposals: map[string]bool{},
 		connected: func(string, string) bool { return true }, dropsBootstrap: func(string, string) bool { return false }}
@@ -136,12 +139,13 @@
 	return a
 }
 
+// canReach reports whether frames from node a reach node b now. Both nodes must be running.
 func (sim *simCluster) canReach(a, b string) bool {
 	x := sim.nodes[b]
 	return x != nil && !x.stopped && !sim.nodes[a].stopped && sim.connected(a, b)
 }
 
-// step advances the simulation by 200 ms.
+// advanceOneStep advances the simulation by 200 ms and performs all actions of the running nodes.
 func (sim *simCluster) advanceOneStep() {
 	sim.now += 200 * ms
 	for _, n := range sim.names {
@@ -208,7 +212,7 @@
 	return sim
 }
 
-// majorityCount returns the number of lists of founders that more than half of the listed founders have stored.
+// majorityListCount returns the number of lists of founders that more than half of the listed founders have stored.
 func (sim *simCluster) majorityListCount() (n int) {
 	storedCount := map[string]int{}
 	for _, a := range sim.nodes {
@@ -246,15 +250,15 @@
 }
 
 // Guards against two seeds that both bootstrap, and against a deployment in which no seed does. A later seed bootstraps only if each
-// seed before it was never live, is no longer live, or is not at its first start. No seed bootstraps if a node from which it has a
-// hello holds a state of the core.
+// seed before it was never live, is no longer live, or is not at its first start. No seed bootstraps the core if it has a hello from
+// a node that holds a state of the core.
 func TestSeedsBootstrapInTurn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		seeds        string
-		setUp        func(sim *simCluster)
-		bootstrapper string // the node that chose the founders
-		founderCount int    // number of founders in each list
+		seeds        string                // names of the seeds, one letter each
+		setUp        func(sim *simCluster) // prepares the deployment and may run it for a time
+		bootstrapper string                // name of the node that must choose the founders; empty if no node may choose founders
+		founderCount int                   // number of founders that each chosen list must contain
 	}{
 		{"first seed never starts", "abc", func(sim *simCluster) { sim.stopNodes("a") }, "b", 2},
 		{"first seed stops early", "abc", func(sim *simCluster) { sim.runUntil(200 * ms).stopNodes("a") }, "b", 3},
@@ -485,7 +489,7 @@
 	must.True(t, r.IsLive("a") && r.IsLive("b"))
 	r.Tick(22 * time.Second)
 	takeActions(r)
-	must.False(t, r.IsLive("a") || r.IsLive("b")) // no frame came for 2.2 s, not counting the stall; 0.5 s of these were before it
+	must.False(t, r.IsLive("a") || r.IsLive("b")) // no frame came for 0.5 s before the stall and 2 s after the stall, which exceeds 2.2 s
 }
 
 // Guards against a first seed that creates a cluster which the other nodes never join. The first seed either stalls for 6 s before it
@@ -514,7 +518,7 @@
 	}
 	must.True(t, firstSeedBootstraps(0, true))
 	must.False(t, firstSeedBootstraps(6*time.Second, true)) // another node has bootstrapped the core
-	must.False(t, firstSeedBootstraps(800*ms, false))       // no frame came for 1.2 s
+	must.False(t, firstSeedBootstraps(800*ms, false))       // the first seed received no frame for 1.2 s
 }
 
 // Guards against two clusters that both accept changes. Nodes a, b and c are the seeds. Nodes d and e also have a disk, and a is
--- a/internal/gateway/quorumcontact/permissions.go
+++ b/internal/gateway/quorumcontact/permissions.go
@@ -4,11 +4,13 @@
 
 // Bounds provides the maximum ages for the table of permissions. settings.Bounds implements Bounds.
 type Bounds interface {
-	// ReadyMaxAge returns the contact age below which the node reports itself ready for clients.
+	// ReadyMaxAge returns the contact age below which the node reports itself ready for clients. The contact age is the age of the
+	// node's knowledge of the configuration log, see the package comment.
 	ReadyMaxAge() time.Duration
 	// AuthoritativeMaxAge returns the contact age below which a node may refuse requests on the basis of its own state alone.
 	AuthoritativeMaxAge() time.Duration
-	// PartitionedAge returns the contact age from which a caller should use another node rather than wait for this node.
+	// PartitionedAge returns the contact age at which this node counts as partitioned. A caller should then use another node and not
+	// wait for this node.
 	PartitionedAge() time.Duration
 }
 
@@ -22,8 +24,8 @@
 	FollowerInContact                     // the node does not lead, and its contact age is below the maximum
 	LeaderPartitioned                     // the node leads, and its contact age has reached the maximum
 	FollowerPartitioned                   // the node does not lead, and its contact age has reached the maximum
-	Starting                              // no quorum contact since the start of the process, less than the maximum age ago
-	NoContact                             // no quorum contact since the start of the process, the maximum age or longer ago
+	Starting                              // no quorum contact since the process started, and its uptime is below the maximum age
+	NoContact                             // no quorum contact since the process started, and its uptime has reached the maximum age
 
 	inContact = LeaderInContact | FollowerInContact
 )
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -202,5 +202,6 @@
 // Uptime returns the time since this incarnation began.
 func (t *Tracker) Uptime(now time.Duration) time.Duration { return now - t.config.StartedAt }
 
-// StreamMaxAge returns the contact age of an upstream from which a learner looks for another upstream.
+// StreamMaxAge returns the contact age that an upstream must not reach. If the upstream's age reaches it, a learner looks for another
+// upstream.
 func (t *Tracker) StreamMaxAge() time.Duration { return rules[StreamLog].memberMaxAge(t.config.Bounds) }
--- a/internal/gateway/statemachine/machine_test.go
+++ b/internal/gateway/statemachine/machine_test.go
@@ -14,6 +14,7 @@
 	"clovergap/internal/gateway/routing"
 )
 
+// configBody returns the body of an entry that replaces the configuration of version parent by one with the given generation.
 func configBody(generation, parent int) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"parent_version":%d,"services":[{"name":"s"}],"vhosts":[{"hostname":"h.example",
 "path_list":[{"name":"r","path_prefix":"/","variant":"pure","target":"s"}]}]}`, generation, parent)
--- a/internal/gateway/statemachine/stored.go
+++ b/internal/gateway/statemachine/stored.go
@@ -9,9 +9,11 @@
 		Bills    []byte          // snapshot of routing.Register
 		Seats    []storedSlot    // the slot holders, indexed by slot
 		Rollouts []byte          // snapshot of rollout.State; not in snapshots of the first version
-		Founders []storedFounder // not in snapshots of the first version
+		Founders []storedFounder // see Machine.founders; not in snapshots of the first version
 	}
-	storedSlot    struct{ Name, Addr, Control, Zone string }
+	// storedSlot is the encoding of a membership.SlotHolder.
+	storedSlot struct{ Name, Addr, Control, Zone string }
+	// storedFounder is the encoding of a membership.Founder.
 	storedFounder struct {
 		Disk membership.DiskID
 		Addr string
