--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -88,7 +88,7 @@
 			switch {
 			case consequenceOf(ending, false, false).mayHaveRun:
 				ran[backend] = true
-			case ran[backend]: // the backend was unresponsive and may have run the request, so no ending may claim otherwise
+			case ran[backend]: // the backend was unresponsive and may have run the request, so no ending may say that it has not
 				return
 			}
 			h.SubmissionEnded(1, h.txns[1].submissions-1, backend, ending, false, 50*time.Millisecond, nil)
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -30,18 +30,18 @@
 	return h, assigner
 }
 
-// setCanaryBackends sets the state of the first n backends of the canary.
-func (h *harness) setCanaryBackends(state control.BackendState, n int) {
-	for i := range n {
+// setCanaryBackends sets the state of the first backendCount backends of the canary. It adds backends that are not listed yet.
+func (h *harness) setCanaryBackends(state control.BackendState, backendCount int) {
+	for i := range backendCount {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(firstCanaryBackend + i), State: state, Capacity: 4, Service: 2}})
 	}
 }
 
-// lastSubmissionIsAtCanary reports whether the last decision submits a request to the canary. The test fails if the last decision submits no request.
-// what describes the submission in the message.
-func (h *harness) lastSubmissionIsAtCanary(what string) bool {
+// isLastSubmissionAtCanary reports whether the last decision submits a request to the canary. The test fails if the last decision submits no request.
+// The message of the failure is description, which says which submission was expected.
+func (h *harness) isLastSubmissionAtCanary(description string) bool {
 	h.t.Helper()
-	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(what))
+	must.Eq(h.t, control.Submit, h.lastDecision().Action, must.Sprint(description))
 	return h.lastDecision().Backend >= firstCanaryBackend
 }
 
@@ -52,14 +52,14 @@
 	h, assigner := newCanaryHarness(idempotentRoute, 3, 3)
 	h.t = t
 	h.sendRequest(1)
-	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request"))
+	must.True(t, h.isLastSubmissionAtCanary("first submission of a canary request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.lastSubmissionIsAtCanary("retry of a canary request"))
+	must.False(t, h.isLastSubmissionAtCanary("retry of a canary request"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.sendRequest(2)
-	must.False(t, h.lastSubmissionIsAtCanary("first submission of a baseline request"))
+	must.False(t, h.isLastSubmissionAtCanary("first submission of a baseline request"))
 	h.endLastSubmission(control.Errored, false)
-	must.False(t, h.lastSubmissionIsAtCanary("retry of a baseline request"))
+	must.False(t, h.isLastSubmissionAtCanary("retry of a baseline request"))
 	h.endLastSubmission(control.Succeeded, true)
 	must.SliceLen(t, 2, assigner.samples)
 	must.Eq(t, ComparisonSample{Assignment: Assignment{7, rollout.Canary, true, 1}, Service: 1, Kind: 1, Backend: assigner.samples[0].Backend,
@@ -68,9 +68,9 @@
 
 	h.setBackends(control.Gone, 1, 3)
 	h.sendRequest(3)
-	must.True(t, h.lastSubmissionIsAtCanary("first submission of a canary request without baseline backends"))
+	must.True(t, h.isLastSubmissionAtCanary("first submission of a canary request without baseline backends"))
 	h.endLastSubmission(control.Errored, false)
-	must.True(t, h.lastSubmissionIsAtCanary("retry of a canary request without baseline backends"))
+	must.True(t, h.isLastSubmissionAtCanary("retry of a canary request without baseline backends"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.sendRequest(4)
 	h.advanceTo(h.now + time.Second)
@@ -80,7 +80,7 @@
 	h.setCanaryBackends(control.Gone, 3)
 	samplesBefore := len(assigner.samples)
 	h.sendRequest(5)
-	must.False(t, h.lastSubmissionIsAtCanary("first submission of a canary request without canary backends"))
+	must.False(t, h.isLastSubmissionAtCanary("first submission of a canary request without canary backends"))
 	h.endLastSubmission(control.Errored, false)
 	must.SliceLen(t, samplesBefore, assigner.samples) // nothing is reported, since the canary had no backend
 	must.Eq(t, control.Fail, h.lastDecision().Action)
@@ -100,14 +100,14 @@
 	h.SetRollout(1, 2, CanaryClosed)
 	h.takeDecisions()
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.lastSubmissionIsAtCanary("request from the canary's queue after a rollback"))
+	must.False(t, h.isLastSubmissionAtCanary("request from the canary's queue after a rollback"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.SubmissionEnded(1, 0, firstCanaryBackend, control.Rejected, false, 50*time.Millisecond, nil) // the request has not run
 	h.takeDecisions()
 	must.Eq(t, 1, h.lastDecision().Txn)
-	must.False(t, h.lastSubmissionIsAtCanary("request that the canary rejected after a rollback"))
+	must.False(t, h.isLastSubmissionAtCanary("request that the canary rejected after a rollback"))
 	h.sendRequest(101)
-	must.False(t, h.lastSubmissionIsAtCanary("new request after a rollback"))
+	must.False(t, h.isLastSubmissionAtCanary("new request after a rollback"))
 	h.setBackends(control.Gone, 1, 5)
 	h.sendRequest(103)
 	h.advanceTo(h.now + time.Second)
@@ -115,7 +115,7 @@
 	h.SetRollout(1, 2, CanaryFallback)
 	h.setCanaryBackends(control.Ready, 2)
 	h.sendRequest(105)
-	must.True(t, h.lastSubmissionIsAtCanary("new request with the canary as fallback"))
+	must.True(t, h.isLastSubmissionAtCanary("new request with the canary as fallback"))
 }
 
 // Guards against the rejection of requests for lack of capacity at the canary. A request whose wait in the canary's queue ends must go to the baseline
@@ -129,7 +129,7 @@
 	}
 	h.advanceTo(h.now + 100*time.Millisecond)
 	must.Eq(t, id, h.lastDecision().Txn)
-	must.False(t, h.lastSubmissionIsAtCanary("request that waited for the canary"))
+	must.False(t, h.isLastSubmissionAtCanary("request that waited for the canary"))
 	h.endLastSubmission(control.Errored, false)
 	must.SliceEmpty(t, assigner.samples) // the request did not end at its assigned version
 }
--- a/internal/gateway/admission/controller.go
+++ b/internal/gateway/admission/controller.go
@@ -96,12 +96,12 @@
 }
 
 // SetNodes sets the number of nodes that share the retry allowance and the backends.
-func (c *Controller) SetNodes(n int) {
+func (c *Controller) SetNodes(nodeCount int) {
 	for _, s := range c.services {
 		c.advanceBudget(s) // the previous number of nodes applies until now
-		s.balancer.SetNodes(n)
+		s.balancer.SetNodes(nodeCount)
 	}
-	c.config.Nodes = max(n, 1)
+	c.config.Nodes = max(nodeCount, 1)
 }
 
 // Now sets the current time. An earlier time than the last one is ignored. A wake-up is always requested. So if a call of Now comes more than
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -19,7 +19,7 @@
 // harness is a controller together with a simulated host.
 type harness struct {
 	*Controller
-	t       *testing.T // set by tests that use lastSubmissionIsAtCanary
+	t       *testing.T // set by tests that use isLastSubmissionAtCanary
 	now     time.Duration
 	decided []control.Decision // all decisions except wake-ups and log entries
 }
@@ -39,9 +39,9 @@
 	return h
 }
 
-// setBackends sets the state of all backends whose ID is at least from and at most to.
-func (h *harness) setBackends(state control.BackendState, from, to int) {
-	for i := from; i <= to; i++ {
+// setBackends sets the state of the backends of service 1 whose ID is at least firstID and at most lastID. It adds backends that are not listed yet.
+func (h *harness) setBackends(state control.BackendState, firstID, lastID int) {
+	for i := firstID; i <= lastID; i++ {
 		h.EndpointsChanged(false, []control.Endpoint{{ID: control.BackendID(i), State: state, Capacity: 4, Service: 1}})
 	}
 }
--- a/internal/gateway/admission/recorded_test.go
+++ b/internal/gateway/admission/recorded_test.go
@@ -97,7 +97,7 @@
 			case control.SendDatagram:
 				controllers[decision.Peer].DatagramReceived(control.GatewayID(e.node), decision.Payload)
 			case control.Cancel:
-				// handled when the decision is taken, see below
+				// a Cancel decision has no event, because the loop below handles the decision at once
 			case control.Submit:
 				if e.attempt != submissions[key]-1 {
 					continue // the submission was canceled in the meantime
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -86,8 +86,8 @@
 	return sim
 }
 
-// scheduleAfter adds an event that occurs after the duration d.
-func (s *simulation) scheduleAfter(d time.Duration, j job) { s.events.Add(s.now+d, j) }
+// scheduleAfter adds an event that occurs when delay has passed since the present simulated time.
+func (s *simulation) scheduleAfter(delay time.Duration, j job) { s.events.Add(s.now+delay, j) }
 
 // randomDuration returns an exponentially distributed duration with the given mean.
 func (s *simulation) randomDuration(mean time.Duration) time.Duration {
@@ -259,8 +259,10 @@
 	}
 }
 
-// shareOfArrivals returns n divided by the number of requests that arrived.
-func (s *simulation) shareOfArrivals(n int) float64 { return float64(n) / float64(s.arrived) }
+// shareOfArrivals returns requestCount divided by the number of requests that arrived.
+func (s *simulation) shareOfArrivals(requestCount int) float64 {
+	return float64(requestCount) / float64(s.arrived)
+}
 
 // addedRouteShare is the request rate of each route that is added later, as a fraction of the node's request rate for the first route.
 const addedRouteShare = 0.1
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -92,7 +92,7 @@
 }
 
 // SetNodes sets the number of nodes that send requests to the service.
-func (b *Balancer) SetNodes(n int) { b.nodes = max(n, 1) }
+func (b *Balancer) SetNodes(nodeCount int) { b.nodes = max(nodeCount, 1) }
 
 // SetEndpoint applies one entry of the backend list. A backend that is draining or gone gets no further requests.
 func (b *Balancer) SetEndpoint(_ time.Duration, e control.Endpoint) {
@@ -113,7 +113,7 @@
 	if e.State == control.Gone {
 		b.removeBackend(backend)
 	}
-	b.updateSlots()
+	b.updateTotalSlots()
 }
 
 // compareID compares the ID of a backend with an ID, for a binary search.
@@ -129,9 +129,9 @@
 	}
 }
 
-// updateSlots updates the total number of slots of the ready backends. The capacity changes in proportion: with half the slots, half the capacity is
+// updateTotalSlots updates the total number of slots of the ready backends. The capacity changes in proportion: with half the slots, half the capacity is
 // left.
-func (b *Balancer) updateSlots() {
+func (b *Balancer) updateTotalSlots() {
 	before := b.slots
 	b.slots = 0
 	for _, backend := range b.ordered {
@@ -182,7 +182,7 @@
 	return backend == nil || now < backend.WarmingUntil
 }
 
-// IsEmpty reports whether the balancer knows no backend. If so, no request is in flight.
+// IsEmpty reports whether the balancer knows no backend. A balancer that knows no backend has no request in flight.
 func (b *Balancer) IsEmpty() bool { return len(b.known) == 0 }
 
 // InFlightCount returns the number of this node's requests in flight at the service.
--- a/internal/gateway/balancer/balancer_test.go
+++ b/internal/gateway/balancer/balancer_test.go
@@ -36,11 +36,11 @@
 	return control.Endpoint{ID: id, Zone: control.ZoneID((id - 1) / 3), State: state, Capacity: 4}
 }
 
-// sendRequests sends n requests, one every 20 ms. Each request ends before the next is sent, so the number of requests in flight does not influence
+// sendRequests sends requestCount requests, one every 20 ms. Each request ends before the next is sent, so the number of requests in flight does not influence
 // the choice.
-func (f *fixture) sendRequests(n int, request Request) {
+func (f *fixture) sendRequests(requestCount int, request Request) {
 	clear(f.chosen)
-	for range n {
+	for range requestCount {
 		f.now += 20 * time.Millisecond
 		id, result := f.Pick(f.now, request)
 		if result != Chosen {
@@ -198,7 +198,7 @@
 		}
 		must.Between(t, 330, toSubset, 399)
 		var sentTo []control.BackendID
-		for range 24 { // none of these requests ends meanwhile
+		for range 24 { // all of these requests stay in flight until the loop below ends them
 			id, result := f.Pick(f.now, Request{})
 			must.Eq(t, Chosen, result)
 			f.RecordSent(f.now, id, Request{})
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -34,7 +34,7 @@
 }
 
 // IsDead reports whether a backend is dead, so that its requests in flight should be sent to another backend. A dead backend has left at least
-// deadUnanswered requests unanswered for long, and other backends have responded meanwhile. For a backend that is suspect or gone, one unanswered
+// deadUnanswered requests unanswered for long, and other backends have responded during this time. For a backend that is suspect or gone, one unanswered
 // request suffices.
 func (b *Balancer) IsDead(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
--- a/internal/gateway/balancer/tuning.go
+++ b/internal/gateway/balancer/tuning.go
@@ -124,7 +124,8 @@
 	crossZoneCost = 0.06
 	// The share of requests that leave the zone is updated once per crossZoneInterval. The excess loss is the value loss of this zone's responses
 	// minus the value loss of the other zones' responses minus crossZoneCost. If the excess loss is above 0, the share grows by crossZoneGain times
-	// the excess loss, up to maxCrossZoneShare. Otherwise the share is multiplied by crossZoneDecay, and a share below minCrossZoneShare becomes 0.
+	// the excess loss, up to maxCrossZoneShare. If the excess loss is 0 or less, the share is multiplied by crossZoneDecay, and a share below
+	// minCrossZoneShare becomes 0.
 	crossZoneInterval = 100 * time.Millisecond
 	crossZoneGain     = 0.3
 	crossZoneDecay    = 0.93
--- a/internal/gateway/logentry/codec.go
+++ b/internal/gateway/logentry/codec.go
@@ -19,11 +19,11 @@
 	return b.Bytes()
 }
 
-// Decode decodes a value that Encode encoded, and stores it in v. The argument what describes the operation, such as "read snapshot".
-// An error's message begins with it.
-func Decode(b []byte, v any, what string) error {
+// Decode decodes a value that Encode encoded, and stores it in v. The argument operation describes the operation, such as
+// "read snapshot". The message of an error begins with this description.
+func Decode(b []byte, v any, operation string) error {
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(v); err != nil {
-		return errors.Wrap(err, what)
+		return errors.Wrap(err, operation)
 	}
 	return nil
 }
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -51,9 +51,11 @@
 	return false
 }
 
-// bootstrap creates the core at the first start of the deployment. To do so, a seed sends a bootstrap message with the list of
-// founders to each founder. The first seed in the settings bootstraps the core once no new node with a disk has appeared for
-// bootstrapQuietPeriod. A later seed bootstraps the core only if each seed before it is not live or is not at its first start.
+// bootstrapIfNeeded creates the core at the first start of the deployment, if it is this node's turn. To create the core, a seed sends
+// a bootstrap message with the list of founders to each founder. The founders are the nodes whose disks become the first members of
+// the core, the replicated group that orders the configuration log. The first seed in the settings bootstraps the core once no new
+// node with a disk has appeared for bootstrapQuietPeriod. A later seed bootstraps the core only if each of the preceding seeds is not
+// live or is not at its first start.
 //
 // All seeds may be killed before the first bootstrap message is on disk. Then no seed is at its first start any more, and waiting
 // for such a seed would never end. In this case the first live seed bootstraps the core after a longer delay. The seed requires at
@@ -66,7 +68,7 @@
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that do not hold a state of the core yet,
 // because a link may have lost the message.
-func (r *Roster) bootstrap() {
+func (r *Roster) bootstrapIfNeeded() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
 			return
--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -23,8 +23,9 @@
 	confirmed    bool // the peer has acknowledged this node's current description
 }
 
-// recordReceived updates the state after the peer has sent a hello. p still has the values from before that hello.
-func (h *helloState) recordReceived(hello *Hello, p *peer, self *Node) {
+// recordReceivedHello updates the state after the peer p has sent a hello. The fields of p still have their values from before this hello. self is
+// this node's description of itself.
+func (h *helloState) recordReceivedHello(hello *Hello, p *peer, self *Node) {
 	h.confirmed = hello.Acknowledged == self.fingerprint()
 	if !p.helloReceived || p.fingerprint() != hello.Node.fingerprint() {
 		h.repeats = 0
@@ -102,7 +103,7 @@
 	restarted := p.helloReceived && p.Incarnation != hello.Node.Incarnation
 	isNewDisk := hasDisk && (!p.helloReceived || p.Disk != hello.Node.Disk)
 	clusterExisted := r.knowsExistingCluster()
-	p.hello.recordReceived(&hello, p, &r.self)
+	p.hello.recordReceivedHello(&hello, p, &r.self)
 	p.Node, p.helloReceived, p.knowsCluster, p.receivedAt, p.helloAt = hello.Node, true, hello.ClusterExists, r.now, r.now
 	p.Addr = from
 	r.updateLink(from, p)
@@ -116,7 +117,7 @@
 	}
 	r.addAdvertisedNodes(hello.KnownAddrs)
 	if isNewDisk && r.self.Disk == 0 {
-		r.sendHelloToDiskless()
+		r.sendHelloToDisklessNodes()
 	}
 	if restarted {
 		r.liveNodesChanged = true
@@ -134,9 +135,9 @@
 	}
 }
 
-// sendHelloToDiskless sends hellos to the linked nodes without a disk. A hello names the nodes with a disk. A node without a disk that
-// dialed this node as a seed needs the address of a node with a disk.
-func (r *Roster) sendHelloToDiskless() {
+// sendHelloToDisklessNodes sends hellos to the linked nodes without a disk. A hello names the nodes with a disk. A node without a disk
+// that dialed this node as a seed needs the address of a node with a disk.
+func (r *Roster) sendHelloToDisklessNodes() {
 	for _, addr := range r.Addrs() {
 		if p := r.peers[addr]; p.linkUp && p.Disk == 0 {
 			r.sendHello(addr, p)
--- a/internal/gateway/membership/links.go
+++ b/internal/gateway/membership/links.go
@@ -52,7 +52,7 @@
 }
 
 // SetSeeds sets the seeds from the current settings. The bootstrap continues to use the seeds from the start of the process
-// (Config.Seeds), because these are the same at all nodes.
+// (Config.Seeds), because all nodes have the same Config.Seeds.
 func (r *Roster) SetSeeds(addrs []string) {
 	r.seeds = addrs
 	for _, addr := range addrs {
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -159,7 +159,7 @@
 			r.forgetPeer(addr, p)
 		}
 	}
-	r.bootstrap()
+	r.bootstrapIfNeeded()
 }
 
 // forgetPeer removes a peer and asks the host to close the link to it.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -17,19 +17,19 @@
 type event func(*Roster)
 
 // forEachInterleaving calls visit with every interleaving of several sequences. Each sequence keeps its own order.
-func forEachInterleaving(seqs [][]event, visit func([]event)) {
+func forEachInterleaving(sequences [][]event, visit func([]event)) {
 	var order []event
 	var step func()
 	step = func() {
 		done := true
-		for i, s := range seqs {
+		for i, s := range sequences {
 			if len(s) == 0 {
 				continue
 			}
 			done = false
-			order, seqs[i] = append(order, s[0]), s[1:]
+			order, sequences[i] = append(order, s[0]), s[1:]
 			step()
-			order, seqs[i] = order[:len(order)-1], s
+			order, sequences[i] = order[:len(order)-1], s
 		}
 		if done {
 			visit(order)
@@ -47,8 +47,8 @@
 }
 
 // countActions returns the number of actions of a kind for an address.
-func countActions(all []Action, kind ActionKind, addr string) (n int) {
-	for _, a := range all {
+func countActions(actions []Action, kind ActionKind, addr string) (n int) {
+	for _, a := range actions {
 		if a.Kind == kind && a.Addr == addr {
 			n++
 		}
