--- a/internal/gateway/membership/hello.go
+++ b/internal/gateway/membership/hello.go
@@ -23,8 +23,8 @@
 	confirmed    bool // the peer has acknowledged this node's current description
 }
 
-// recordReceivedHello updates the state after the peer p has sent a hello. The fields of p still have their values from before this hello. self is
-// this node's description of itself.
+// recordReceivedHello updates the state after the peer p has sent a hello. The fields of p still have their values from before this
+// hello. self is this node's description of itself.
 func (h *helloState) recordReceivedHello(hello *Hello, p *peer, self *Node) {
 	h.confirmed = hello.Acknowledged == self.fingerprint()
 	if !p.helloReceived || p.fingerprint() != hello.Node.fingerprint() {
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// AnnounceShutdown sends hellos to all linked nodes which say that this node is shutting down.
+// AnnounceShutdown sends a hello to each linked node. The hello says that this node is shutting down.
 func (r *Roster) AnnounceShutdown() {
 	r.self.Leaving = true
 	r.sendHelloToAll()
--- a/internal/gateway/quorumcontact/tracker.go
+++ b/internal/gateway/quorumcontact/tracker.go
@@ -170,8 +170,8 @@
 
 // HandleReport processes a report of the current upstream. appliedIndex is the index of the last entry that this node has applied.
 // HandleReport ignores a report in each of the following cases: the report covers an entry after appliedIndex; the sender had no
-// quorum contact; the term is older than the newest reported term; or this incarnation did not send the echoed timestamp recently. A report
-// without a term echoes no timestamp, so its age counts from the receipt of the report.
+// quorum contact; the term is older than the newest reported term; or this incarnation did not send the echoed timestamp recently. A
+// report without a term echoes no timestamp, so its age counts from the receipt of the report.
 func (t *Tracker) HandleReport(r Report, appliedIndex uint64, now time.Duration) {
 	sentAt, ok := t.clock.TimeOf(r.Echo, now)
 	switch {
