--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -18,26 +18,30 @@
 //   - succeeded, rejected, timedOut: the node learns that the submission ended in this way.
 //   - wakeUp: the node is woken at the time that it requested.
 type job struct {
-	kind    string
-	node    int
-	txn     control.TxnID
+	kind string
+	node int // index of the node in simulation.controllers
+	txn  control.TxnID
+	// attempt is the number of the submission of the request, from 0. In a requestArrives event, attempt is the product ID of the request instead,
+	// and 0 stands for product ID 1.
 	attempt int
 	backend control.BackendID
-	sentAt  time.Duration
+	sentAt  time.Duration // when the node sent the submission
 }
 
 // server simulates a backend. It processes as many requests at a time as it has slots, and queues as many more.
 type server struct {
 	speed        float64 // factor on the processing time; a lower value is faster
-	slots        int
+	slots        int     // number of submissions that the server processes at a time
 	zone         control.ZoneID
-	busy         int
-	queue        []job
-	busyTime     time.Duration // total duration of the requests that were started
-	unresponsive bool
+	busy         int           // number of submissions that the server is processing
+	queue        []job         // submissions that wait to be processed
+	busyTime     time.Duration // total processing time of the submissions whose processing was started
+	unresponsive bool          // the server ignores all events
 }
 
-// simulation runs several controllers against queueing servers in simulated time.
+// simulation runs several controllers, one for each node, against servers with queues in simulated time. arrivedAt holds the arrival times of requests
+// without an answer, by node index and request ID. requested and served count requests by product ID. The fields in the last line count requests
+// and submissions of all nodes.
 type simulation struct {
 	now                                                                             time.Duration
 	rng                                                                             *rand.Rand
@@ -82,15 +86,15 @@
 	return sim
 }
 
-// scheduleAfter adds an event that occurs after the duration d.
-func (s *simulation) scheduleAfter(d time.Duration, j job) { s.events.Add(s.now+d, j) }
+// scheduleAfter adds an event that occurs when delay has passed since the present simulated time.
+func (s *simulation) scheduleAfter(delay time.Duration, j job) { s.events.Add(s.now+delay, j) }
 
-// randomTime returns an exponentially distributed time.
-func (s *simulation) randomTime(mean time.Duration) time.Duration {
+// randomDuration returns an exponentially distributed duration with the given mean.
+func (s *simulation) randomDuration(mean time.Duration) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(mean))
 }
 
-// runUntil processes all events up to a time.
+// runUntil processes all events until a simulated time, including the events at that time.
 func (s *simulation) runUntil(until time.Duration) {
 	for {
 		at, _ := s.events.NextDeadline()
@@ -103,20 +107,21 @@
 	}
 }
 
+// handleEvent processes an event. An event at a node is passed to the node's controller, whose decisions are then performed.
 func (s *simulation) handleEvent(j job) {
 	controller := s.controllers[j.node]
 	if j.kind == "submissionArrives" || j.kind == "processed" {
-		s.handleAtServer(j)
+		s.handleServerEvent(j)
 		return
 	}
 	controller.Now(s.now)
 	switch j.kind {
 	case "requestArrives":
-		rate, kind := s.arrivalRates[j.node], control.ProductID(max(j.attempt, 1)) // in this kind of event, attempt is the product ID; 0 stands for 1
+		rate, kind := s.arrivalRates[j.node], control.ProductID(max(j.attempt, 1)) // see job.attempt
 		if kind > 1 {
 			rate *= addedRouteShare
 		}
-		s.scheduleAfter(s.randomTime(time.Duration(float64(time.Second)/rate)), j)
+		s.scheduleAfter(s.randomDuration(time.Duration(float64(time.Second)/rate)), j)
 		s.lastTxn++
 		s.routeOf[s.lastTxn] = kind
 		s.requested[kind]++
@@ -145,7 +150,7 @@
 	s.takeDecisions(j.node, controller)
 }
 
-// takeDecisions performs all decisions of a controller that are due.
+// takeDecisions performs all decisions that the controller of a node makes at the present time.
 func (s *simulation) takeDecisions(node int, controller *Controller) {
 	for decision, ok := controller.Next(); ok; decision, ok = controller.Next() {
 		key := [2]int{node, int(decision.Txn)}
@@ -181,8 +186,8 @@
 	}
 }
 
-// handleAtServer processes an event at a server.
-func (s *simulation) handleAtServer(j job) {
+// handleServerEvent processes an event at a server: the arrival of a submission, or the end of its processing.
+func (s *simulation) handleServerEvent(j job) {
 	server := s.servers[j.backend-1]
 	if server.unresponsive {
 		return
@@ -212,7 +217,7 @@
 // startProcessing starts the processing of a submission at a server.
 func (s *simulation) startProcessing(server *server, j job) {
 	server.busy++
-	d := time.Duration(float64(s.randomTime(s.meanServiceTime)) * server.speed)
+	d := time.Duration(float64(s.randomDuration(s.meanServiceTime)) * server.speed)
 	j.kind = "processed"
 	server.busyTime += d
 	s.scheduleAfter(d, j)
@@ -254,8 +259,10 @@
 	}
 }
 
-// shareOfArrivals returns n divided by the number of requests that arrived.
-func (s *simulation) shareOfArrivals(n int) float64 { return float64(n) / float64(s.arrived) }
+// shareOfArrivals returns requestCount divided by the number of requests that arrived.
+func (s *simulation) shareOfArrivals(requestCount int) float64 {
+	return float64(requestCount) / float64(s.arrived)
+}
 
 // addedRouteShare is the request rate of each route that is added later, as a fraction of the node's request rate for the first route.
 const addedRouteShare = 0.1
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -24,7 +24,7 @@
 	expectedLatency    time.Duration // highest typical latency of the kinds of requests sent since unanswered was 0
 
 	// Response times.
-	slowdown  float64 // see the package comment
+	slowdown  float64 // smoothed ratio of the backend's response times to the typical latency of the service; 1 is typical
 	responses int     // number of responses that were used for slowdown
 
 	// Rejections and failures.
@@ -53,7 +53,7 @@
 type Balancer struct {
 	rng       *rand.Rand
 	zone      control.ZoneID
-	nodes     int // nodes that share the service
+	nodes     int // number of nodes that send requests to the service
 	zoneIndex int // index of this node among the nodes of its zone
 	zoneNodes int // number of nodes in this zone; 0 if unknown
 
@@ -72,7 +72,7 @@
 	lastResponseAt time.Duration                 // time of the last response of any backend
 
 	inFlight    int           // requests of this node in flight at all backends
-	capacity    float64       // see the package comment
+	capacity    float64       // number of requests that this node may have in flight at all backends of the service
 	saturatedAt time.Duration // when a request last found no capacity, or was rejected by a backend
 
 	valueLoss            [2]float64    // mean value loss of responses, by ownZone and otherZones
@@ -81,7 +81,7 @@
 	crossZoneUpdatedAt   time.Duration // last time that crossZoneShare was updated
 }
 
-// New returns a balancer without backends. nodes is the number of nodes that share the service.
+// New returns a balancer without backends. zone is the zone of this node. nodes is the number of nodes that send requests to the service.
 func New(rng *rand.Rand, zone control.ZoneID, nodes int) *Balancer {
 	return &Balancer{
 		rng: rng, zone: zone, nodes: max(nodes, 1), saturatedAt: -time.Minute,
@@ -91,8 +91,8 @@
 	}
 }
 
-// SetNodes sets the number of nodes that share the service.
-func (b *Balancer) SetNodes(n int) { b.nodes = max(n, 1) }
+// SetNodes sets the number of nodes that send requests to the service.
+func (b *Balancer) SetNodes(nodeCount int) { b.nodes = max(nodeCount, 1) }
 
 // SetEndpoint applies one entry of the backend list. A backend that is draining or gone gets no further requests.
 func (b *Balancer) SetEndpoint(_ time.Duration, e control.Endpoint) {
@@ -113,9 +113,10 @@
 	if e.State == control.Gone {
 		b.removeBackend(backend)
 	}
-	b.updateSlots()
+	b.updateTotalSlots()
 }
 
+// compareID compares the ID of a backend with an ID, for a binary search.
 func compareID(backend *backendState, id control.BackendID) int { return cmp.Compare(backend.ID, id) }
 
 // removeBackend removes a backend from ordered. The backend remains in known until it has no request in flight.
@@ -128,9 +129,9 @@
 	}
 }
 
-// updateSlots updates the total number of slots of the ready backends. The capacity changes in proportion: with half the slots, half the capacity is
+// updateTotalSlots updates the total number of slots of the ready backends. The capacity changes in proportion: with half the slots, half the capacity is
 // left.
-func (b *Balancer) updateSlots() {
+func (b *Balancer) updateTotalSlots() {
 	before := b.slots
 	b.slots = 0
 	for _, backend := range b.ordered {
@@ -152,7 +153,7 @@
 	b.capacity = min(max(b.capacity, 1), max(1, maxCapacityFactor*b.slots))
 }
 
-// locality returns ownZone if a zone is this node's zone, and otherZones for all other zones.
+// locality returns the array index for a zone: ownZone if the zone is this node's zone, and otherZones for all other zones.
 func (b *Balancer) locality(zone control.ZoneID) int {
 	if zone == b.zone {
 		return ownZone
@@ -181,7 +182,7 @@
 	return backend == nil || now < backend.WarmingUntil
 }
 
-// IsEmpty reports whether the balancer knows no backend. If so, no request is in flight.
+// IsEmpty reports whether the balancer knows no backend. A balancer that knows no backend has no request in flight.
 func (b *Balancer) IsEmpty() bool { return len(b.known) == 0 }
 
 // InFlightCount returns the number of this node's requests in flight at the service.
--- a/internal/gateway/balancer/pick.go
+++ b/internal/gateway/balancer/pick.go
@@ -42,9 +42,9 @@
 		}
 		return 0, NoBackend
 	}
-	result := b.findNext(now, r, r.Effectful)
-	if r.Effectful && !result.hasNext() && !result.anyBusy {
-		result = b.findNext(now, r, false)
+	result := b.findNextBackends(now, r, r.Effectful)
+	if r.Effectful && !result.hasAvailableBackend() && !result.anyBusy {
+		result = b.findNextBackends(now, r, false)
 	}
 	local, remote := result.next[ownZone], result.next[otherZones]
 	switch {
@@ -63,7 +63,7 @@
 	return b.pickLeastFailing(now, r)
 }
 
-// searchResult is the result of findNext.
+// searchResult is the result of findNextBackends.
 type searchResult struct {
 	next        [2]*backendState // available backend with the lowest pass, by ownZone and otherZones; nil if there is none
 	nextPass    [2]float64       // pass of these backends
@@ -71,13 +71,16 @@
 	anyBusy     bool             // there is a healthy backend that is busy
 }
 
-// hasNext reports whether an available backend was found.
-func (s *searchResult) hasNext() bool { return s.next[ownZone] != nil || s.next[otherZones] != nil }
+// hasAvailableBackend reports whether an available backend was found, in this zone or in another zone.
+func (s *searchResult) hasAvailableBackend() bool {
+	return s.next[ownZone] != nil || s.next[otherZones] != nil
+}
 
-// findNext finds the available backend with the lowest pass in this zone and in the other zones. Each request in flight at a backend adds one stride
-// to its pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If
-// excludeFailing is set, backends that are too unreliable for effectful requests count as unhealthy.
-func (b *Balancer) findNext(now time.Duration, r Request, excludeFailing bool) searchResult {
+// findNextBackends finds, in this zone and in the other zones, the available backend with the lowest pass. The pass is the point in virtual time at
+// which stride scheduling chooses the backend next, see the package comment. Each request in flight at a backend adds one stride to the backend's
+// pass. A random fraction of a stride is added too, so that nodes with the same observations do not all choose the same backend. If excludeFailing is
+// set, backends that are too unreliable for effectful requests count as unhealthy.
+func (b *Balancer) findNextBackends(now time.Duration, r Request, excludeFailing bool) searchResult {
 	var result searchResult
 	for _, backend := range b.ordered {
 		if !r.mayGoTo(backend) {
@@ -91,7 +94,7 @@
 			result.anyBusy = true
 			continue
 		}
-		stride, locality := b.stride(now, backend, r), b.locality(backend.Zone)
+		stride, locality := b.strideOf(now, backend, r), b.locality(backend.Zone)
 		pass := max(backend.pass, b.virtualTime[locality]-maxLag*stride) + stride*(float64(backend.inFlight)+b.rng.Float64()/4)
 		if result.next[locality] == nil || pass < result.nextPass[locality] {
 			result.next[locality], result.nextPass[locality] = backend, pass
@@ -109,7 +112,8 @@
 	unhealthy              // the backend is ejected, unresponsive, or too unreliable for the request
 )
 
-// availability returns whether a request may be sent to a backend now. For excludeFailing see findNext.
+// availability returns whether a request may be sent to a backend now. If excludeFailing is set, a backend that is too unreliable for effectful
+// requests is unhealthy.
 func (b *Balancer) availability(now time.Duration, backend *backendState, r Request, excludeFailing bool) availability {
 	if backend.ejectedUntil > now || b.isUnresponsive(now, backend, r) {
 		return unhealthy
@@ -137,8 +141,9 @@
 	return max(1, int(n+0.5))
 }
 
-// stride returns the distance in virtual time between two requests to a backend, which is the inverse of the backend's share.
-func (b *Balancer) stride(now time.Duration, backend *backendState, r Request) float64 {
+// strideOf returns a backend's stride for a request: the distance in virtual time between two requests to the backend. The stride is the inverse of
+// the backend's share of the requests. So a backend with a smaller stride gets more requests.
+func (b *Balancer) strideOf(now time.Duration, backend *backendState, r Request) float64 {
 	share := 1.0
 	if now < backend.WarmingUntil {
 		share = warmUpShare
--- a/internal/gateway/balancer/silence.go
+++ b/internal/gateway/balancer/silence.go
@@ -27,14 +27,14 @@
 	return max(minUnresponsiveTime, b.expectedResponseTime(unresponsiveFactor))
 }
 
-// expectedResponseTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and one above
-// maxSlowdown counts as maxSlowdown.
+// expectedResponseTime returns factor times the backend's expectedLatency, multiplied by its slowdown. A slowdown below 1 counts as 1, and a
+// slowdown above maxSlowdown counts as maxSlowdown.
 func (b *backendState) expectedResponseTime(factor float64) time.Duration {
 	return time.Duration(factor * max(1, min(b.slowdown, maxSlowdown)) * float64(b.expectedLatency))
 }
 
 // IsDead reports whether a backend is dead, so that its requests in flight should be sent to another backend. A dead backend has left at least
-// deadUnanswered requests unanswered for long, and other backends have responded meanwhile. For a backend that is suspect or gone, one unanswered
+// deadUnanswered requests unanswered for long, and other backends have responded during this time. For a backend that is suspect or gone, one unanswered
 // request suffices.
 func (b *Balancer) IsDead(now time.Duration, id control.BackendID) bool {
 	backend := b.known[id]
--- a/internal/gateway/membership/bootstrap.go
+++ b/internal/gateway/membership/bootstrap.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// bootstrapQuietPeriod is the time without a new node with a disk that must pass before the core is bootstrapped.
+	// A seed bootstraps the core only if no new node with a disk has appeared for bootstrapQuietPeriod.
 	bootstrapQuietPeriod = 500 * time.Millisecond
 	// bootstrapTimeout is how long a seed waits for the number of founders that Config.ToleratedLosses requires, which is
 	// 2*ToleratedLosses+1. After that time the seed bootstraps the core with fewer founders.
 	bootstrapTimeout = 3 * time.Second
-	// bootstrapSeedInterval is added to the delay before a seed may bootstrap the core, once for each seed before it in the settings.
+	// A seed waits before it may bootstrap the core. The wait is bootstrapSeedInterval times the number of seeds that precede this
+	// seed in the settings.
 	bootstrapSeedInterval = 2500 * time.Millisecond
-	// bootstrapRestartDelay is added to the delay of a seed that is not at its first start, because another node that holds a
-	// state of the core may still appear.
+	// bootstrapRestartDelay is added to this wait if the seed is not at its first start, because another node that holds a state of
+	// the core may still appear.
 	bootstrapRestartDelay = 6 * time.Second
 	// bootstrapContactTimeout is the maximum age of the last frame from a seed that counts as reachable for a bootstrap. It is
 	// less than livenessTimeout, because a node that was partitioned less than livenessTimeout ago still considers nodes live that
@@ -30,17 +31,17 @@
 // the seeds have stored it. So only the founders of a single cluster can be sent to nodes that are not seeds. A seed without a disk
 // cannot store a list. While such a seed is live, it counts as if it had stored every list.
 func (r *Roster) MaySendFounders(clusterID uint64, addr string) bool {
-	holding := 0
+	seedsWithList := 0
 	for _, seed := range r.config.Seeds {
 		n, ok := r.Node(seed)
 		if ok && (n.Disk != 0 && n.ClusterID == clusterID || n.Disk == 0 && r.IsLive(seed)) {
-			holding++
+			seedsWithList++
 		}
 	}
-	return 2*holding > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
+	return 2*seedsWithList > len(r.config.Seeds) || slices.Contains(r.config.Seeds, addr)
 }
 
-// knowsExistingCluster reports whether any node from which this node has a hello holds a state of the core.
+// knowsExistingCluster reports whether this node has a hello from any node whose disk holds a state of the core.
 func (r *Roster) knowsExistingCluster() bool {
 	for _, p := range r.peers {
 		if p.helloReceived && p.Bootstrapped {
@@ -50,21 +51,24 @@
 	return false
 }
 
-// bootstrap creates the core at the first start of the deployment. To do so, a seed sends a bootstrap message with the list of
-// founders to each founder. The first seed in the settings bootstraps the core once no new node with a disk has appeared for
-// bootstrapQuietPeriod. A later seed bootstraps the core only if each seed before it is not live or is not at its first start.
+// bootstrapIfNeeded creates the core at the first start of the deployment, if it is this node's turn. To create the core, a seed sends
+// a bootstrap message with the list of founders to each founder. The founders are the nodes whose disks become the first members of
+// the core, the replicated group that orders the configuration log. The first seed in the settings bootstraps the core once no new
+// node with a disk has appeared for bootstrapQuietPeriod. A later seed bootstraps the core only if each of the preceding seeds is not
+// live or is not at its first start.
 //
 // All seeds may be killed before the first bootstrap message is on disk. Then no seed is at its first start any more, and waiting
 // for such a seed would never end. In this case the first live seed bootstraps the core after a longer delay. The seed requires at
 // least 2*ToleratedLosses+1 empty disks, so that no earlier core can have acknowledged an entry.
 //
-// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if a node from which it has a
-// hello holds a state of the core, or knows a node that holds one. A seed also does not bootstrap the core without contact with more
-// than half of the seeds, because the two sides of a partition must not create two clusters (see MaySendFounders).
+// Nodes that hold a state of the core do not accept the message. A seed does not bootstrap the core if it has a hello from a node
+// that holds a state of the core, or from a node that knows of such a node (Hello.ClusterExists). A seed also does not bootstrap the
+// core without contact with more than half of the seeds, because the two sides of a partition must not create two clusters (see
+// MaySendFounders).
 //
 // The founders are chosen once in an incarnation. The message is sent again to founders that do not hold a state of the core yet,
 // because a link may have lost the message.
-func (r *Roster) bootstrap() {
+func (r *Roster) bootstrapIfNeeded() {
 	if r.founders == nil {
 		if r.founders = r.chooseFounders(); r.founders == nil {
 			return
@@ -84,7 +88,8 @@
 	}
 }
 
-// chooseFounders returns the founders, sorted by address, if this node has to bootstrap the core now, and nil otherwise.
+// chooseFounders returns the founders, sorted by address, if this node has to bootstrap the core now. It returns nil if this node
+// must not bootstrap the core now.
 func (r *Roster) chooseFounders() []Founder {
 	seedIndex := slices.Index(r.config.Seeds, r.self.Addr)
 	startDelay := time.Duration(seedIndex) * bootstrapSeedInterval
@@ -123,8 +128,9 @@
 	return 2*reached > len(r.config.Seeds)
 }
 
-// founderCandidates returns the nodes that can be founders. It returns false if a state of the core is known to exist, or if it is
-// the turn of a seed before this node in the settings.
+// founderCandidates returns the nodes that can be founders. It returns false if a state of the core is known to exist, or if a live
+// seed that precedes this node in the settings has to bootstrap the core instead of this node. seedIndex is the index of this node
+// in the seeds of the settings.
 func (r *Roster) founderCandidates(seedIndex int) (founders []Founder, ok bool) {
 	if r.self.Disk != 0 {
 		founders = append(founders, Founder{r.self.Disk, r.self.Addr})
--- a/internal/gateway/membership/liveness.go
+++ b/internal/gateway/membership/liveness.go
@@ -16,8 +16,8 @@
 	forgetAfter = 90 * time.Second
 	// refreshInterval is the maximum time between two evaluations of liveness, links and hellos.
 	refreshInterval = 200 * time.Millisecond
-	// maxHeartbeatTargets is the maximum number of nodes to which a node without a disk sends heartbeats. If one of the three is
-	// lost and another one is partitioned, the third still receives the heartbeats.
+	// maxHeartbeatTargets is the maximum number of nodes to which a node without a disk sends heartbeats. If one of these three nodes
+	// is lost and another of the three is partitioned, the third still receives the heartbeats.
 	maxHeartbeatTargets = 3
 )
 
@@ -71,18 +71,20 @@
 	return addrs[:maxHeartbeatTargets]
 }
 
-// Prefers reports whether the node at the address "from" prefers the node at the address "a" to the node at the address "b". A
-// node without a disk uses this order to choose its upstream among nodes that are equally suitable. The upstream is the node whose
-// log stream it applies. Each node has its own order, so that the nodes do not all choose the same upstream.
-func Prefers(from, a, b string) bool {
-	x, y := ringPosition(from+" "+a), ringPosition(from+" "+b)
-	return x < y || x == y && a < b
+// Prefers reports whether the node at fromAddr prefers the node at addrA to the node at addrB as its upstream. The upstream of a node
+// without a disk is the node with a disk whose log stream it applies. The preference decides only between nodes that are equally
+// suitable. Each node has its own order of preference, so that the nodes do not all choose the same upstream.
+func Prefers(fromAddr, addrA, addrB string) bool {
+	x, y := ringPosition(fromAddr+" "+addrA), ringPosition(fromAddr+" "+addrB)
+	return x < y || x == y && addrA < addrB
 }
 
-// hasSlot reports whether a bit set contains a slot.
-func hasSlot(set []byte, s Slot) bool { return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1 }
+// containsSlot reports whether a bit set of slots contains a slot.
+func containsSlot(set []byte, s Slot) bool {
+	return s >= 0 && int(s)/8 < len(set) && set[s/8]>>(s%8)&1 == 1
+}
 
-// slotSet returns the bit set of the slots for whose holder's address include returns true.
+// slotSet returns a bit set of slots. It contains the slot of each holder for whose address include returns true.
 func (r *Roster) slotSet(include func(addr string) bool) []byte {
 	set := make([]byte, (len(r.slotHolders)+7)/8)
 	for i, holder := range r.slotHolders {
@@ -101,7 +103,7 @@
 }
 
 // ReachableSlots returns the bit set of the slots whose holders this node reaches itself. Nodes with a disk report this set to each
-// other. The set includes nothing that other nodes reported. Otherwise two nodes could repeat each other's reports and count a dead
+// other. The set includes nothing that other nodes reported. If it did, two nodes could repeat each other's reports and count a dead
 // node as live forever.
 func (r *Roster) ReachableSlots() []byte { return r.slotSet(r.isReachable) }
 
@@ -123,7 +125,7 @@
 // isReportedLive reports whether a node that is reachable has sent, within livenessTimeout, a report that contains a slot.
 func (r *Roster) isReportedLive(s Slot) bool {
 	for from, report := range r.livenessReports {
-		if hasSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
+		if containsSlot(report.slots, s) && r.now-report.receivedAt < livenessTimeout && r.isReachable(from) {
 			return true
 		}
 	}
@@ -157,7 +159,7 @@
 			r.forgetPeer(addr, p)
 		}
 	}
-	r.bootstrap()
+	r.bootstrapIfNeeded()
 }
 
 // forgetPeer removes a peer and asks the host to close the link to it.
