--- a/internal/gateway/ingress/config.go
+++ b/internal/gateway/ingress/config.go
@@ -40,7 +40,7 @@
 }
 
 // Bounds gives the bounds of a server of clients' connections under such limits.
-func Bounds(l Limits) downstream.Bounds {
+func DownstreamBounds(l Limits) downstream.Bounds {
 	return downstream.Bounds{
 		Head:           l.MaxHeadBytes,
 		Body:           l.MaxBodyBytes,
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -118,7 +118,7 @@
 	st.gate = gate.New(st.module, k, 1000, st.engine.Count, zap.NewNop())
 	k.due = st.gate
 	st.dispatch = upstream.New(st.engine, st.gate, UpstreamConfig(st.node, time.Second), func() bool { return false })
-	st.server = downstream.New(st.engine, 500, Bounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
+	st.server = downstream.New(st.engine, 500, DownstreamBounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
 		func() bool { return false })
 	f := New(st.server, st.engine, st.gate, st.node)
 	must.True(t, f != nil)
--- a/internal/gateway/node/catalog.go
+++ b/internal/gateway/node/catalog.go
@@ -66,7 +66,7 @@
 	n.installRoutes()
 	n.installTenants(previous)
 	l := n.table.Limits()
-	n.frontend.SetBounds(ingress.Bounds(ingress.Limits{MaxHeadBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, HeadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}))
+	n.frontend.SetBounds(ingress.DownstreamBounds(ingress.Limits{MaxHeadBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, HeadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}))
 }
 
 // installRoutes updates admission to the routes of the table.
--- a/internal/gateway/node/sockets.go
+++ b/internal/gateway/node/sockets.go
@@ -106,7 +106,7 @@
 // DataPath makes what requests, calls and datagrams go through, and listens for them.
 func (s *sockets) DataPath(n *Node, g *gate.Gate) (path DataPath, err error) {
 	s.dispatcher = upstream.New(s.Engine, &outcomeTap{g, n}, ingress.UpstreamConfig(n, dialTimeout), func() bool { return s.frontend.Evict() })
-	bounds := ingress.Bounds(ingress.Limits{MaxHeadBytes: routing.DefaultMaxHeaderBytes, MaxBodyBytes: routing.DefaultMaxBodyBytes,
+	bounds := ingress.DownstreamBounds(ingress.Limits{MaxHeadBytes: routing.DefaultMaxHeaderBytes, MaxBodyBytes: routing.DefaultMaxBodyBytes,
 		HeadTimeout: routing.DefaultHeaderTimeout, IdleTimeout: routing.DefaultIdleTimeout})
 	s.frontend = downstream.New(s.Engine, max(1, (s.maxFDs-minLinkFDs)/clientFDDivisor), bounds, func() bool { return s.dispatcher.Evict(nil) })
 	handler := ingress.New(s.frontend, s.Engine, g, n)
