--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -37,41 +37,41 @@
 	if string(id) != carried.ID {
 		return upstream.Meaning{Other: true}
 	}
-	v := d.interpret(carried, head, message)
+	meaning := d.interpretStatus(carried, head, message)
 	if value, _ := head.Get(message, "keep-alive"); value != nil {
 		if timeout, ok := keepAliveTimeout(value); ok {
-			v.Idle = time.Duration(idleTimeoutFactor*float64(timeout)) - idleTimeoutMargin
-			v.Closes = v.Closes || v.Idle <= 0
+			meaning.Idle = time.Duration(idleTimeoutFactor*float64(timeout)) - idleTimeoutMargin
+			meaning.Closes = meaning.Closes || meaning.Idle <= 0
 		}
 	}
-	return v
+	return meaning
 }
 
 // interpret tells what the status and the headers of the request's own response prove.
-func (d *Dialect) interpret(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
-	v := upstream.Meaning{Ending: control.Errored}
+func (d *Dialect) interpretStatus(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
+	meaning := upstream.Meaning{Ending: control.Errored}
 	notRun, _ := head.Get(message, "x-not-run")
 	switch status := head.Status(); {
 	case status == 421:
-		v.Ending, v.Closes = control.Rejected, true
+		meaning.Ending, meaning.Closes = control.Rejected, true
 		d.catalog.BackendReplaced(carried.Backend)
 	case notRun != nil:
-		v.Ending = control.Rejected
+		meaning.Ending = control.Rejected
 	case status < 300:
-		if isSealed(head, message) {
-			v.Ending = control.Succeeded
+		if hasValidSeal(head, message) {
+			meaning.Ending = control.Succeeded
 		}
 	case status == 408 || status == 429 || status == 503: // without X-Not-Run: the request may have run
 	case status < 500:
-		v.Ending = control.Succeeded // the service's own response, whatever it says
+		meaning.Ending = control.Succeeded // the service's own response, whatever it says
 	default:
-		v.Final = carried.Once
+		meaning.Final = carried.Once
 	}
-	return v
+	return meaning
 }
 
 // isSealed tells whether a backend vouches for a response whose body nobody has recoded.
-func isSealed(head *http1.Reader, message []byte) bool {
+func hasValidSeal(head *http1.Reader, message []byte) bool {
 	seal, _ := head.Get(message, "x-backend-seal")
 	encoding, _ := head.Get(message, "content-encoding")
 	return len(seal) > 0 && (len(encoding) == 0 || http1.Same(encoding, "identity"))
--- a/internal/gateway/ingress/forward.go
+++ b/internal/gateway/ingress/forward.go
@@ -12,12 +12,12 @@
 // AppendTo writes the request that goes to a backend: method, target, body and end-to-end headers as they came, with
 // the backend's ID, the tenant and the time that is left. It adds nothing once the client has left, the backend is
 // not known any more, or some of a streamed body was forwarded before.
-func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, at control.BackendID, timeLeft time.Duration) []byte {
+func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, backendID control.BackendID, timeLeft time.Duration) []byte {
 	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
 		return b
 	}
-	backend := h.catalog.BackendName(at)
+	backend := h.catalog.BackendName(backendID)
 	if backend == "" {
 		return b
 	}
@@ -53,14 +53,14 @@
 
 // appendHead writes the head of the response that goes to a client: status and end-to-end headers as they came from
 // the backend. toHEAD: it answers a HEAD; last: no request follows on the connection.
-func appendHead(b []byte, head *http1.Reader, message []byte, toHEAD, last bool) []byte {
+func appendHead(b []byte, head *http1.Reader, message []byte, isHEAD, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(head.Status()), 10)
 	b = append(append(append(b, ' '), head.Reason(message)...), '\r', '\n')
-	b = appendEndToEnd(b, head, message, noHeader)
+	b = appendEndToEnd(b, head, message, dropNoHeader)
 	switch length, known, chunked := head.Framed(); {
 	case head.Status() == 204:
-	case toHEAD || head.Status() == 304: // the length is that of a body which does not come
+	case isHEAD || head.Status() == 304: // the length is that of a body which does not come
 		if declared, _ := head.Get(message, "content-length"); len(declared) > 0 {
 			b = http1.AppendHeader(b, "Content-Length", declared)
 		}
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -101,10 +101,10 @@
 	}
 	admission, why := h.catalog.Admit(h.canonicalHost(r.host), r.path, r.key)
 	if why != NotRejected {
-		h.rejectFor(c, r.id, why)
+		h.rejectNotAdmitted(c, r.id, why)
 		return
 	}
-	txn := h.begin(c, admission, r.deadline)
+	txn := h.startRequest(c, admission, r.deadline)
 	ref, ok := h.gate.Take(txn, h, c.Who())
 	if !ok {
 		h.reject(c, r.id, 503, counters.Rejected, retryAfterUnready)
@@ -115,7 +115,7 @@
 
 // begin sets the connection's state for an admitted request, and gives the transaction that the gate decides on.
 // deadline is the client's; 0: it gave none.
-func (h *Handler) begin(c *downstream.Client, a Admission, deadline time.Duration) control.Txn {
+func (h *Handler) startRequest(c *downstream.Client, a Admission, deadline time.Duration) control.Txn {
 	if deadline == 0 || a.Deadline > 0 && a.Deadline < deadline {
 		deadline = a.Deadline
 	}
@@ -135,8 +135,8 @@
 }
 
 // rejectFor answers a request that the catalog does not admit.
-func (h *Handler) rejectFor(c *downstream.Client, id []byte, why Rejection) {
-	switch why {
+func (h *Handler) rejectNotAdmitted(c *downstream.Client, id []byte, reason Rejection) {
+	switch reason {
 	case NoRoute:
 		h.reject(c, id, 404, counters.NoSuchPath, 0)
 	case InvalidKey:
@@ -147,9 +147,11 @@
 }
 
 // reject answers without a body. after is the Retry-After; 0: none.
-func (h *Handler) reject(c *downstream.Client, id []byte, status int, why counters.ID, after time.Duration) {
-	h.server.Count(why)
-	c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
+func (h *Handler) reject(c *downstream.Client, id []byte, status int, counter counters.ID, retryAfter time.Duration) {
+	h.server.Count(counter)
+	c.Answer(func(b []byte, last bool) []byte {
+		return answer.StatusOnly(b, status, "X-Attempt-Id", id, retryAfter, last)
+	})
 }
 
 // User names the user that a request comes from, for a roll-out's share of users, and its tenant: the client's mark together
@@ -161,9 +163,9 @@
 	}
 	head, message := c.Request()
 	key, _ := apiKey(head, message)
-	mark, repeated := head.Get(message, "x-client-mark")
-	if h.userBuffer = append(h.userBuffer[:0], key...); len(mark) > 0 && !repeated {
-		h.userBuffer = append(append(h.userBuffer, 0), mark...)
+	clientMark, repeated := head.Get(message, "x-client-mark")
+	if h.userBuffer = append(h.userBuffer[:0], key...); len(clientMark) > 0 && !repeated {
+		h.userBuffer = append(append(h.userBuffer, 0), clientMark...)
 	}
 	return h.userBuffer, stateOf(c).Tenant
 }
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -28,23 +28,23 @@
 // module is the least module there may be: each request goes to the one backend; what never ran is declined,
 // what may have is voided.
 type fakeModule struct {
-	todo    []control.Decision
-	lacking control.Reason // set: requests are declined for it
-	expiry  map[control.TxnID]time.Duration
+	decisions    []control.Decision
+	rejectReason control.Reason // set: requests are declined for it
+	expiry       map[control.TxnID]time.Duration
 }
 
 func (f *fakeModule) Now(time.Duration) {}
 func (f *fakeModule) TxnArrived(x control.Txn) {
 	f.expiry[x.ID] = x.Expiry
 	d := control.Decision{Action: control.Submit, Txn: x.ID, Backend: 7}
-	if f.lacking != 0 {
-		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: f.lacking, After: 1500 * time.Millisecond}
+	if f.rejectReason != 0 {
+		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: f.rejectReason, After: 1500 * time.Millisecond}
 	}
-	f.todo = append(f.todo, d)
+	f.decisions = append(f.decisions, d)
 }
 
 func (f *fakeModule) ClientLeft(id control.TxnID) {
-	f.todo = append(f.todo, control.Decision{Action: control.Cancel, Txn: id})
+	f.decisions = append(f.decisions, control.Decision{Action: control.Cancel, Txn: id})
 }
 
 func (f *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
@@ -54,7 +54,7 @@
 		d.Action = control.Reject
 	}
 	if !over {
-		f.todo = append(f.todo, d)
+		f.decisions = append(f.decisions, d)
 	}
 }
 func (f *fakeModule) EndpointsChanged(bool, []control.Endpoint)                    {}
@@ -62,29 +62,29 @@
 func (f *fakeModule) ProbeEnded(control.BackendID, bool, time.Duration, []float64) {}
 func (f *fakeModule) Woken(uint64)                                                 {}
 func (f *fakeModule) Next() (d control.Decision, ok bool) {
-	if len(f.todo) == 0 {
+	if len(f.decisions) == 0 {
 		return d, false
 	}
-	d, f.todo = f.todo[0], f.todo[1:]
+	d, f.decisions = f.decisions[0], f.decisions[1:]
 	return d, true
 }
 
 type clock struct {
 	*eventloop.Engine
-	due eventloop.Alarm
+	wakeTarget eventloop.Alarm
 }
 
-func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.due, nr) }
+func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.wakeTarget, nr) }
 
 // lookups knows one host, with /pure/, /once/ and /open/.
-type fakeNode struct {
-	unknown bool
-	gone    []control.BackendID
+type fakeCatalog struct {
+	configurationPending bool
+	replaced             []control.BackendID
 }
 
-func (f *fakeNode) Admit(host, path, key []byte) (Admission, Rejection) {
+func (f *fakeCatalog) Admit(host, path, key []byte) (Admission, Rejection) {
 	switch kind, _, _ := strings.Cut(strings.TrimPrefix(string(path), "/"), "/"); {
-	case f.unknown:
+	case f.configurationPending:
 		return Admission{}, ConfigurationPending
 	case string(host) != "lots.example" || kind != "pure" && kind != "once" && kind != "open":
 		return Admission{}, NoRoute
@@ -96,8 +96,8 @@
 		return Admission{Tenant: "huka", AtMostOnce: kind == "once", Deadline: 20 * time.Second}, NotRejected
 	}
 }
-func (f *fakeNode) BackendName(control.BackendID) string { return "i-7" }
-func (f *fakeNode) BackendReplaced(at control.BackendID) { f.gone = append(f.gone, at) }
+func (f *fakeCatalog) BackendName(control.BackendID) string { return "i-7" }
+func (f *fakeCatalog) BackendReplaced(at control.BackendID) { f.replaced = append(f.replaced, at) }
 
 // fixture is a node's data path between a client and a backend that answers as told.
 type fixture struct {
@@ -107,21 +107,21 @@
 	dispatch *upstream.Dispatch
 	gate     *gate.Gate
 	module   *fakeModule
-	node     *fakeNode
+	catalog  *fakeCatalog
 	backend  *standin.Script
 }
 
-func openFixture(t *testing.T) *fixture {
-	st := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), node: &fakeNode{},
+func newFixture(t *testing.T) *fixture {
+	st := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), catalog: &fakeCatalog{},
 		module: &fakeModule{expiry: map[control.TxnID]time.Duration{}}}
-	k := &clock{Engine: st.engine}
-	st.gate = gate.New(st.module, k, 1000, st.engine.Count, zap.NewNop())
-	k.due = st.gate
-	st.dispatch = upstream.New(st.engine, st.gate, UpstreamConfig(st.node, time.Second), func() bool { return false })
+	clk := &clock{Engine: st.engine}
+	st.gate = gate.New(st.module, clk, 1000, st.engine.Count, zap.NewNop())
+	clk.wakeTarget = st.gate
+	st.dispatch = upstream.New(st.engine, st.gate, UpstreamConfig(st.catalog, time.Second), func() bool { return false })
 	st.server = downstream.New(st.engine, 500, DownstreamBounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
 		func() bool { return false })
-	f := New(st.server, st.engine, st.gate, st.node)
-	must.True(t, f != nil)
+	handler := New(st.server, st.engine, st.gate, st.catalog)
+	must.True(t, handler != nil)
 	st.gate.SetTransport(st.dispatch, nil)
 	st.engine.OnTurnEnd(st.gate.RunDecisions)
 	must.NoError(t, st.engine.Listen("127.0.0.1:0", st.server.Accept))
@@ -140,7 +140,7 @@
 	reader *bufio.Reader
 }
 
-func (f *fixture) client() *client {
+func (f *fixture) dial() *client {
 	c, err := net.Dial("tcp", f.engine.AddrOf(0))
 	must.NoError(f.t, err)
 	c.SetDeadline(time.Now().Add(testTimeout))
@@ -173,26 +173,26 @@
 	must.ErrorIs(c.t, err, io.EOF)
 }
 
-func (f *fixture) count(id counters.ID) (n uint64) {
+func (f *fixture) counterValue(id counters.ID) (n uint64) {
 	f.engine.Turn(func() { n = f.engine.Count[id] })
 	return n
 }
 
-func request(method, path, id, more string) string {
+func requestText(method, path, id, more string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: Lots.example:80\r\nX-Attempt-Id: " + id +
 		"\r\nAuthorization: Token k1\r\n" + more + "\r\n"
 }
 
-func okResponse(id, more, body string) string {
+func okResponseText(id, more, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 Fine\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s1\r\n%sContent-Length: %d\r\n\r\n%s",
 		id, more, len(body), body)
 }
 
 // What goes on is what came, but for what concerns one connection and what the gateway says itself.
-func TestPassedOn(t *testing.T) {
-	st := openFixture(t)
-	c := st.client()
-	c.send(request("PATCH", "/pure/a?b=c&d", "a1", "Connection: X-Attempt-Id, x-hop, keep-alive\r\nX-Hop: 1\r\n"+
+func TestForwardedHeadersAndBody(t *testing.T) {
+	st := newFixture(t)
+	c := st.dial()
+	c.send(requestText("PATCH", "/pure/a?b=c&d", "a1", "Connection: X-Attempt-Id, x-hop, keep-alive\r\nX-Hop: 1\r\n"+
 		"X-Tenant: liar\r\nX-Expect-Backend: i-0\r\nX-Deadline-Ms: 1500\r\nTE: trailers\r\nX-Other: kept\r\n"+
 		"Transfer-Encoding: chunked\r\n") +
 		"3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: u\r\n\r\n")
@@ -208,10 +208,10 @@
 		"X-Expect-Backend: i-7", "X-Tenant: huka", "Content-Length: 5"}, lines)
 	must.Eq(t, "abcde", x.Body)
 	must.Between(t, 1000, left, 1500)
-	x.Answer(okResponse("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
+	x.Answer(okResponseText("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
 	must.Eq(t, "body", c.expectResponse("HTTP/1.1 200 Fine", "X-Attempt-Id: a1", "X-Backend-Seal: s1", "Set-Cookie: a",
 		"Set-Cookie: b", "!X-Hop", "!Connection"))
-	c.send(request("HEAD", "/open/", "a2", "") + request("GET", "/open/", "a3", "Connection: close\r\n"))
+	c.send(requestText("HEAD", "/open/", "a2", "") + requestText("GET", "/open/", "a3", "Connection: close\r\n"))
 	x = st.backend.Next()
 	must.StrNotContains(t, x.Head, "Tenant")
 	x.Answer("HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Backend-Seal: s\r\nContent-Length: 9\r\n\r\n")
@@ -220,15 +220,15 @@
 	for line != "\r\n" {
 		line, _ = c.reader.ReadString('\n')
 	}
-	st.backend.Next().Answer(okResponse("a3", "", "third"))
+	st.backend.Next().Answer(okResponseText("a3", "", "third"))
 	must.Eq(t, "third", c.expectResponse("HTTP/1.1 200 Fine", "Connection: close"))
 	c.expectEOF()
 }
 
 // Not knowing is not "no", and what can't be a request is told so at once.
-func TestRefused(t *testing.T) {
-	st := openFixture(t)
-	good := request("GET", "/pure/", "r", "")
+func TestRejectedRequests(t *testing.T) {
+	st := newFixture(t)
+	good := requestText("GET", "/pure/", "r", "")
 	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for _, x := range []struct{ text, line string }{
 		{swap("/pure/", "/none/"), "404 Not Found"}, {swap("Lots", "bids"), "404 Not Found"},
@@ -243,27 +243,27 @@
 		{swap("\r\n\r\n", "\r\nContent-Length: 4194305\r\n\r\n"), "413 Content Too Large"},
 		{swap("\r\n\r\n", "\r\nA: "+strings.Repeat("a", 17<<10)+"\r\n\r\n"), "431 Request Header Fields Too Large"},
 	} {
-		c := st.client()
+		c := st.dial()
 		c.send(x.text)
 		c.expectResponse("HTTP/1.1 " + x.line)
 	}
-	st.engine.Turn(func() { st.module.lacking = control.ReasonNoUnits })
-	c := st.client()
+	st.engine.Turn(func() { st.module.rejectReason = control.ReasonNoUnits })
+	c := st.dial()
 	c.send(good)
 	c.expectResponse("HTTP/1.1 429 Too Many Requests", "Retry-After: 1.500", "X-Attempt-Id: r")
-	st.engine.Turn(func() { st.module.lacking = control.ReasonNoBackend })
+	st.engine.Turn(func() { st.module.rejectReason = control.ReasonNoBackend })
 	c.send(good)
 	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 1.500")
-	st.engine.Turn(func() { st.node.unknown = true })
+	st.engine.Turn(func() { st.catalog.configurationPending = true })
 	c.send(good)
 	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 0.300")
-	must.Eq(t, 0, st.count(counters.Dials))
+	must.Eq(t, 0, st.counterValue(counters.Dials))
 }
 
 // Each way that a submission may end, and what its client is told.
-func TestEnds(t *testing.T) {
-	st := openFixture(t)
-	says := func(status, more string) func(*standin.Call) {
+func TestAnswerForEachBackendOutcome(t *testing.T) {
+	st := newFixture(t)
+	responder := func(status, more string) func(*standin.Call) {
 		return func(x *standin.Call) {
 			x.Answer("HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\n" + more + "Content-Length: 2\r\n\r\nno")
 		}
@@ -276,45 +276,45 @@
 		once   string
 		ending counters.ID
 	}{
-		{"own failure", says("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
-		{"own deadline", says("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
-		{"own word", says("403 No", ""), "403 No", "403 No", counters.EndAnswered},
-		{"full", says("503 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
-		{"busy", says("429 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
-		{"another", says("421 Wrong", ""), unavailable, unavailable, counters.EndFull},
-		{"promise without a word", says("503 Full", ""), bad, bad, counters.EndErrored},
-		{"no seal", says("200 OK", ""), bad, bad, counters.EndErrored},
-		{"encoded", says("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
+		{"own failure", responder("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
+		{"own deadline", responder("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
+		{"own word", responder("403 No", ""), "403 No", "403 No", counters.EndAnswered},
+		{"full", responder("503 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
+		{"busy", responder("429 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
+		{"another", responder("421 Wrong", ""), unavailable, unavailable, counters.EndFull},
+		{"promise without a word", responder("503 Full", ""), bad, bad, counters.EndErrored},
+		{"no seal", responder("200 OK", ""), bad, bad, counters.EndErrored},
+		{"encoded", responder("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
 		{"no id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
 			bad, bad, counters.EndBroken},
-		{"cut", func(x *standin.Call) { x.Answer(okResponse("e", "", "some")[:80]); x.Conn.Close() },
+		{"cut", func(x *standin.Call) { x.Answer(okResponseText("e", "", "some")[:80]); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
 		{"reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
 		{"noise", func(x *standin.Call) { x.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
 	} {
 		for path, line := range map[string]string{"/pure/": x.pure, "/once/": x.once} {
-			c, before := st.client(), st.count(x.ending)
-			c.send(request("POST", path, "e", ""))
+			c, before := st.dial(), st.counterValue(x.ending)
+			c.send(requestText("POST", path, "e", ""))
 			x.says(st.backend.Next())
 			c.expectResponse("HTTP/1.1 " + line)
-			must.Eq(t, before+1, st.count(x.ending), must.Sprint(x.what, path))
+			must.Eq(t, before+1, st.counterValue(x.ending), must.Sprint(x.what, path))
 		}
 	}
-	must.Eq(t, []control.BackendID{7, 7}, st.node.gone)
+	must.Eq(t, []control.BackendID{7, 7}, st.catalog.replaced)
 }
 
 // A failure bears a backend's seal only where it is that backend's, with the status that it gave: what the gateway answers itself
 // bears none, whatever the backend had begun to say.
-func TestOwnFailuresBearNoSeal(t *testing.T) {
-	st := openFixture(t)
+func TestGatewayErrorsHaveNoBackendSeal(t *testing.T) {
+	st := newFixture(t)
 	for _, status := range []string{"200 OK", "204 Empty", "302 Away", "403 No", "408 Slow", "421 Wrong", "429 Full", "500 Oops", "502 Bad",
 		"503 Full", "504 Late"} {
 		for name, more := range map[string]string{"": "", "not run": "X-Not-Run: 1\r\n", "encoded": "Content-Encoding: gzip\r\n"} {
 			for _, cut := range []bool{false, true} {
 				for _, path := range []string{"/pure/", "/once/"} {
-					c := st.client()
-					c.send(request("POST", path, "e", ""))
+					c := st.dial()
+					c.send(requestText("POST", path, "e", ""))
 					x := st.backend.Next()
 					text := "HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\nX-Backend-Seal: s\r\n" + more + "Content-Length: 2\r\n\r\nno"
 					if status == "204 Empty" {
@@ -342,22 +342,22 @@
 }
 
 // An answer with another id is passed over and the right one awaited; one too many ends its connection.
-func TestAnotherID(t *testing.T) {
-	st := openFixture(t)
-	c := st.client()
-	c.send(request("POST", "/once/", "x1", ""))
+func TestResponseWithOtherAttemptIDIsSkipped(t *testing.T) {
+	st := newFixture(t)
+	c := st.dial()
+	c.send(requestText("POST", "/once/", "x1", ""))
 	x := st.backend.Next()
-	x.Answer(okResponse("x0", "", "not yours") + okResponse("x1", "", "yours") + okResponse("x2", "", "nobody's"))
+	x.Answer(okResponseText("x0", "", "not yours") + okResponseText("x1", "", "yours") + okResponseText("x2", "", "nobody's"))
 	must.Eq(t, "yours", c.expectResponse("HTTP/1.1 200 Fine"))
 	x.Conn.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := x.Conn.Read(make([]byte, 1))
 	must.Error(t, err)
-	must.Eq(t, 1, st.count(counters.OtherAnswer))
+	must.Eq(t, 1, st.counterValue(counters.OtherAnswer))
 }
 
 // A connection is used as long as its backend says, less a margin, and never more of them than allowed.
-func TestConnections(t *testing.T) {
-	v := NewDialect(nil)
+func TestBackendConnectionReuseAndLimit(t *testing.T) {
+	dialect := NewDialect(nil)
 	for text, want := range map[string]time.Duration{"timeout=5, max=9": 3900 * time.Millisecond, "max=9": 0} {
 		d, ok := keepAliveTimeout([]byte(text))
 		if ok {
@@ -365,43 +365,43 @@
 		}
 		must.Eq(t, want, d)
 	}
-	must.True(t, v.Wary())
-	st := openFixture(t)
+	must.True(t, dialect.Wary())
+	st := newFixture(t)
 	st.engine.Turn(func() { st.dispatch.SetMaxConns(7, 1) })
-	c, other := st.client(), st.client()
-	c.send(request("GET", "/pure/", "m1", ""))
+	c, other := st.dial(), st.dial()
+	c.send(requestText("GET", "/pure/", "m1", ""))
 	x := st.backend.Next()
-	other.send(request("GET", "/pure/", "m2", ""))
+	other.send(requestText("GET", "/pure/", "m2", ""))
 	other.expectResponse("HTTP/1.1 503 Service Unavailable")
-	x.Answer(okResponse("m1", "", "a"))
+	x.Answer(okResponseText("m1", "", "a"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	c.send(request("GET", "/pure/", "m3", "")) // at once: it has not rested, and no other may be opened
-	st.backend.Next().Answer(okResponse("m3", "Keep-Alive: timeout=0\r\n", "b"))
+	c.send(requestText("GET", "/pure/", "m3", "")) // at once: it has not rested, and no other may be opened
+	st.backend.Next().Answer(okResponseText("m3", "Keep-Alive: timeout=0\r\n", "b"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	must.Eq(t, 1, st.count(counters.Dials))
-	c.send(request("GET", "/pure/", "m4", ""))
-	st.backend.Next().Answer(okResponse("m4", "", "b"))
+	must.Eq(t, 1, st.counterValue(counters.Dials))
+	c.send(requestText("GET", "/pure/", "m4", ""))
+	st.backend.Next().Answer(okResponseText("m4", "", "b"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	must.Eq(t, 2, st.count(counters.Dials))
+	must.Eq(t, 2, st.counterValue(counters.Dials))
 }
 
 // A form that answers later finds the one that asked, and nobody else.
-type later struct {
+type deferredHandler struct {
 	in      *downstream.Server
 	tickets chan downstream.Ticket
 }
 
-func (l *later) Take(c *downstream.Client) {
+func (l *deferredHandler) Take(c *downstream.Client) {
 	t := c.Ticket()
 	c.AwaitAnswer(0, "")
 	l.tickets <- t
 }
-func (l *later) Left(slots.Ref) {}
+func (l *deferredHandler) Left(slots.Ref) {}
 
-func TestLateAnswers(t *testing.T) {
+func TestTicketAnswersOnlyItsRequest(t *testing.T) {
 	e := eventloop.New("", 256, 64<<10, 16<<20)
 	in := downstream.New(e, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
-	f := &later{in, make(chan downstream.Ticket, 10)}
+	f := &deferredHandler{in, make(chan downstream.Ticket, 10)}
 	in.SetHandler(f)
 	must.NoError(t, e.Listen("127.0.0.1:0", (*eventloop.Link).CloseSoon))
 	must.NoError(t, e.Listen("127.0.0.1:0", in.Accept))
@@ -413,7 +413,7 @@
 		c.SetDeadline(time.Now().Add(testTimeout))
 		return &client{t, c, bufio.NewReader(c)}
 	}
-	say := func(k downstream.Ticket, status int) (ok bool) {
+	answerTicket := func(k downstream.Ticket, status int) (ok bool) {
 		e.Turn(func() {
 			ok = in.Answer(k, func(b []byte, _ bool) []byte {
 				return fmt.Appendf(b, "HTTP/1.1 %d A\r\nContent-Length: 0\r\n\r\n", status)
@@ -425,13 +425,13 @@
 	body := strings.Repeat("b", 3<<20)
 	go c.send(fmt.Sprintf("POST /api HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	first := <-f.tickets
-	must.True(t, say(first, 200))
+	must.True(t, answerTicket(first, 200))
 	c.expectResponse("HTTP/1.1 200 A")
-	must.False(t, say(first, 201))
+	must.False(t, answerTicket(first, 201))
 	c.send("GET /api HTTP/1.1\r\n\r\n")
 	second := <-f.tickets
-	must.False(t, say(first, 201))
-	must.True(t, say(second, 202))
+	must.False(t, answerTicket(first, 201))
+	must.True(t, answerTicket(second, 202))
 	c.expectResponse("HTTP/1.1 202 A")
 	c.send("GET /api HTTP/1.1\r\n\r\n")
 	third := <-f.tickets
@@ -439,5 +439,5 @@
 	for in, end := 1, time.Now().Add(testTimeout); in > 0 && time.Now().Before(end); {
 		e.Turn(func() { in = f.in.Clients() })
 	}
-	must.False(t, say(third, 200))
+	must.False(t, answerTicket(third, 200))
 }
--- a/internal/gateway/ingress/headers.go
+++ b/internal/gateway/ingress/headers.go
@@ -44,24 +44,24 @@
 
 // connectionOptions are the headers that a message's Connection header names, which are then hop-by-hop too.
 type connectionOptions struct {
-	head    *http1.Reader
-	message []byte
-	any     bool // false spares a search for each header
+	head     *http1.Reader
+	message  []byte
+	nonEmpty bool // false spares a search for each header
 }
 
-func connectionOptionsOf(head *http1.Reader, message []byte) connectionOptions {
+func newConnectionOptions(head *http1.Reader, message []byte) connectionOptions {
 	options := connectionOptions{head: head, message: message}
 	head.Each(message, func(name, value []byte) {
 		if isConnection(name) && !http1.Same(value, "keep-alive") && !http1.Same(value, "close") {
-			options.any = true
+			options.nonEmpty = true
 		}
 	})
 	return options
 }
 
 // names tells whether Connection names a header.
-func (c *connectionOptions) names(header []byte) (found bool) {
-	if !c.any {
+func (c *connectionOptions) contains(header []byte) (found bool) {
+	if !c.nonEmpty {
 		return false
 	}
 	c.head.Each(c.message, func(name, value []byte) {
@@ -78,9 +78,9 @@
 
 // appendEndToEnd adds the headers of a message that are neither hop-by-hop nor dropped, as they came.
 func appendEndToEnd(b []byte, head *http1.Reader, message []byte, drop func(name []byte) bool) []byte {
-	options := connectionOptionsOf(head, message)
+	options := newConnectionOptions(head, message)
 	head.Each(message, func(name, value []byte) {
-		if !isHopByHop(name) && !drop(name) && (isProtected(name) || !options.names(name)) {
+		if !isHopByHop(name) && !drop(name) && (isProtected(name) || !options.contains(name)) {
 			b = append(append(b, name...), ": "...)
 			b = append(append(b, value...), '\r', '\n')
 		}
@@ -89,7 +89,7 @@
 }
 
 // noHeader drops none.
-func noHeader([]byte) bool { return false }
+func dropNoHeader([]byte) bool { return false }
 
 // appendFraming adds the header that says where a body ends. known: a length is written though the body may be empty.
 func appendFraming(b []byte, length int, known, chunked bool) []byte {
--- a/internal/gateway/ingress/request.go
+++ b/internal/gateway/ingress/request.go
@@ -19,13 +19,13 @@
 }
 
 // problem is why a request is answered with 400; the zero value is none.
-type problem struct {
+type requestProblem struct {
 	text    string
 	counter counters.ID
 }
 
 // parseRequest reads a request. What it says wrongly is named in the order of the checks below.
-func parseRequest(c *downstream.Client) (clientRequest, problem) {
+func parseRequest(c *downstream.Client) (clientRequest, requestProblem) {
 	head, message := c.Request()
 	target := head.Target(message)
 	id, idRepeated := head.Get(message, "x-attempt-id")
@@ -34,18 +34,18 @@
 	deadline, deadlineValid := clientDeadline(head, message)
 	switch {
 	case target[0] != '/':
-		return clientRequest{}, problem{"a path is needed", counters.BadRequest}
+		return clientRequest{}, requestProblem{"a path is needed", counters.BadRequest}
 	case hostRepeated || len(host) == 0:
-		return clientRequest{}, problem{"host: one is needed", counters.BadRequest}
+		return clientRequest{}, requestProblem{"host: one is needed", counters.BadRequest}
 	case idRepeated || len(id) == 0 || len(id) > maxAttemptIDBytes:
-		return clientRequest{}, problem{"x-attempt-id: one is needed", counters.BadID}
+		return clientRequest{}, requestProblem{"x-attempt-id: one is needed", counters.BadID}
 	case keyRepeated:
-		return clientRequest{}, problem{"authorization: more than one", counters.BadRequest}
+		return clientRequest{}, requestProblem{"authorization: more than one", counters.BadRequest}
 	case !deadlineValid:
-		return clientRequest{}, problem{"x-deadline-ms: one number of milliseconds", counters.BadRequest}
+		return clientRequest{}, requestProblem{"x-deadline-ms: one number of milliseconds", counters.BadRequest}
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
-	return clientRequest{id: id, host: host, path: path, key: key, deadline: deadline}, problem{}
+	return clientRequest{id: id, host: host, path: path, key: key, deadline: deadline}, requestProblem{}
 }
 
 // apiKey reads a key, which is sent as `Token KEY`; other credentials are passed over. nil: there is none.
--- a/internal/gateway/ingress/streaming.go
+++ b/internal/gateway/ingress/streaming.go
@@ -63,7 +63,7 @@
 	n := len(b) - dataStart
 	state.bodySent = state.bodySent || n > 0 || complete
 	if chunked {
-		b = closeChunk(b, start, n)
+		b = finishChunk(b, start, n)
 		if complete {
 			b = append(b, lastChunk...)
 		}
@@ -73,7 +73,7 @@
 
 // closeChunk writes the size of a chunk over the placeholder at start, before its n bytes of data. A chunk without data
 // is taken out: it would be the last one.
-func closeChunk(b []byte, start, n int) []byte {
+func finishChunk(b []byte, start, n int) []byte {
 	if n == 0 {
 		return b[:start]
 	}
@@ -114,7 +114,7 @@
 		return
 	}
 	if stateOf(c).chunkedResponse {
-		h.chunkBuffer = closeChunk(append(append(h.chunkBuffer[:0], chunkSizePlaceholder...), part...), 0, len(part))
+		h.chunkBuffer = finishChunk(append(append(h.chunkBuffer[:0], chunkSizePlaceholder...), part...), 0, len(part))
 		part = h.chunkBuffer
 	}
 	c.Pass(part)
--- a/internal/gateway/ingress/streaming_test.go
+++ b/internal/gateway/ingress/streaming_test.go
@@ -27,7 +27,7 @@
 }
 
 // listenRaw is a backend that hands over its connections as they are.
-func (f *fixture) listenRaw() (next func() (*bufio.Reader, *net.TCPConn)) {
+func (f *fixture) listenBackend() (next func() (*bufio.Reader, *net.TCPConn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(f.t, err)
 	f.t.Cleanup(func() { l.Close() })
@@ -43,7 +43,7 @@
 }
 
 // chunkedBody cuts a body into chunks of uneven sizes.
-func chunkedBody(body []byte) []byte {
+func encodeChunked(body []byte) []byte {
 	var b bytes.Buffer
 	for i := 1; len(body) > 0; i++ {
 		n := min(len(body), i*i*7%70000+1)
@@ -55,7 +55,7 @@
 }
 
 // yieldToOthers lets all that can go on do so for a while. Nothing rests on how far they come.
-func yieldToOthers() {
+func yieldProcessor() {
 	for range 5000 {
 		runtime.Gosched()
 	}
@@ -63,101 +63,101 @@
 
 // Long bodies, by length and in chunks, come through whole both ways, one after the other on one
 // connection, though either side is slow; the memory that they take is bounded.
-func TestLongBodies(t *testing.T) {
-	st := openFixture(t)
-	next := st.listenRaw()
+func TestStreamedBodiesArriveComplete(t *testing.T) {
+	st := newFixture(t)
+	next := st.listenBackend()
 	body := randomBody(3 << 20)
-	c := st.client()
+	c := st.dial()
 	for i, chunked := range []bool{false, true, false, true} {
 		head := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		sent := body
 		if chunked {
-			head, sent = "Transfer-Encoding: chunked\r\n", chunkedBody(body)
+			head, sent = "Transfer-Encoding: chunked\r\n", encodeChunked(body)
 		}
 		id := fmt.Sprint("b", i)
-		go c.send(request("POST", "/once/", id, head) + string(sent))
+		go c.send(requestText("POST", "/once/", id, head) + string(sent))
 		r, conn := next()
-		q, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(r)
 		must.NoError(t, err)
-		must.Eq(t, "huka", q.Header.Get("X-Tenant"))
-		must.Eq(t, chunked, q.ContentLength < 0)
-		yieldToOthers() // all rings fill
-		got, err := io.ReadAll(q.Body)
+		must.Eq(t, "huka", req.Header.Get("X-Tenant"))
+		must.Eq(t, chunked, req.ContentLength < 0)
+		yieldProcessor() // all rings fill
+		got, err := io.ReadAll(req.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
-		more := "Connection: close\r\n"
+		closeHeader := "Connection: close\r\n"
 		if i < 2 {
-			more = ""
+			closeHeader = ""
 		}
 		go func() {
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\n%s%s\r\n%s", id, more, head, sent)
-			if more != "" {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\n%s%s\r\n%s", id, closeHeader, head, sent)
+			if closeHeader != "" {
 				conn.Close() // before its reader has begun
 			}
 		}()
-		a, err := http.ReadResponse(c.reader, &http.Request{Method: "POST"})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: "POST"})
 		must.NoError(t, err)
-		must.Eq(t, "s", a.Header.Get("X-Backend-Seal"))
-		yieldToOthers()
-		got, err = io.ReadAll(a.Body)
+		must.Eq(t, "s", resp.Header.Get("X-Backend-Seal"))
+		yieldProcessor()
+		got, err = io.ReadAll(resp.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
 		if i < 2 {
 			conn.Close()
 		}
 	}
-	must.Eq(t, 4, st.count(counters.Answered))
-	must.Eq(t, 1, st.count(counters.ClientsOpened))
+	must.Eq(t, 4, st.counterValue(counters.Answered))
+	must.Eq(t, 1, st.counterValue(counters.ClientsOpened))
 }
 
 // A reader that stops holds up its own connection only, and what waits for it stays with the backend.
-func TestSlowReader(t *testing.T) {
-	st := openFixture(t)
-	next := st.listenRaw()
-	slow, quick := st.client(), st.client()
-	slow.send(request("GET", "/pure/", "s", ""))
+func TestSlowClientDelaysOnlyItsOwnConnection(t *testing.T) {
+	st := newFixture(t)
+	next := st.listenBackend()
+	slow, quick := st.dial(), st.dial()
+	slow.send(requestText("GET", "/pure/", "s", ""))
 	r, conn := next()
 	http.ReadRequest(r)
 	body := randomBody(24 << 20)
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: s\r\nX-Backend-Seal: s\r\nContent-Length: %d\r\n\r\n", len(body))
-	went := make(chan error)
+	writeDone := make(chan error)
 	go func() {
 		_, err := conn.Write(body)
-		went <- err
+		writeDone <- err
 	}()
 	for i := range 20 {
-		quick.send(request("GET", "/pure/", fmt.Sprint("q", i), ""))
+		quick.send(requestText("GET", "/pure/", fmt.Sprint("q", i), ""))
 		r, other := next()
 		_, err := http.ReadRequest(r)
 		must.NoError(t, err)
-		io.WriteString(other, okResponse(fmt.Sprint("q", i), "Connection: close\r\n", "quick"))
+		io.WriteString(other, okResponseText(fmt.Sprint("q", i), "Connection: close\r\n", "quick"))
 		must.Eq(t, "quick", quick.expectResponse("HTTP/1.1 200 Fine"))
 	}
 	select {
-	case <-went:
+	case <-writeDone:
 		t.Fatal("an answer was taken that nobody reads")
 	default:
 	}
-	a, err := http.ReadResponse(slow.reader, nil)
+	resp, err := http.ReadResponse(slow.reader, nil)
 	must.NoError(t, err)
-	got, err := io.ReadAll(a.Body)
+	got, err := io.ReadAll(resp.Body)
 	must.NoError(t, err)
 	must.True(t, bytes.Equal(body, got))
-	must.NoError(t, <-went)
+	must.NoError(t, <-writeDone)
 }
 
 // What is cut short never looks whole, and a body of which some has gone does not go again.
-func TestCutShort(t *testing.T) {
-	st := openFixture(t)
-	next := st.listenRaw()
+func TestTruncatedBodiesNeverLookComplete(t *testing.T) {
+	st := newFixture(t)
+	next := st.listenBackend()
 	body := randomBody(1 << 20)
 	for _, head := range []string{"Content-Length: 1048576\r\n", "Transfer-Encoding: chunked\r\n"} {
 		sent := body
 		if strings.HasPrefix(head, "Transfer") {
-			sent = chunkedBody(body)
+			sent = encodeChunked(body)
 		}
-		c := st.client()
-		c.send(request("GET", "/pure/", "c", ""))
+		c := st.dial()
+		c.send(requestText("GET", "/pure/", "c", ""))
 		r, conn := next()
 		http.ReadRequest(r) // a close with unread bytes would reset the connection
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: c\r\nX-Backend-Seal: s\r\n%s\r\n%s", head, sent[:len(sent)-50])
@@ -167,7 +167,7 @@
 		_, err = io.ReadAll(a.Body)
 		must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	}
-	must.Eq(t, 2, st.count(counters.Truncated))
+	must.Eq(t, 2, st.counterValue(counters.Truncated))
 	for i, x := range []struct {
 		answer string // of the backend, before the body is whole
 		rest   string
@@ -178,10 +178,10 @@
 		{"no answer\r\n", "", "502 Bad Gateway"},
 		{"HTTP/1.1 500 Oops\r\nX-Attempt-Id: d\r\nContent-Length: 0\r\n\r\n", "", "502 Bad Gateway"},
 	} {
-		c := st.client()
-		c.send(request("PUT", "/pure/", "d", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"))
+		c := st.dial()
+		c.send(requestText("PUT", "/pure/", "d", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"))
 		c.expectResponse("HTTP/1.1 100 Continue")
-		c.send(string(chunkedBody(body)[:1<<19]))
+		c.send(string(encodeChunked(body)[:1<<19]))
 		r, conn := next()
 		q, err := http.ReadRequest(r)
 		must.NoError(t, err)
@@ -194,8 +194,8 @@
 		c.expectResponse("HTTP/1.1 "+x.line, "Connection: close")
 	}
 	st.engine.Turn(func() { must.Eq(t, 0, st.gate.InFlight()) })
-	c := st.client()
-	c.send(request("PUT", "/pure/", "e", "Content-Length: 1000000\r\n") + string(body[:500000]))
+	c := st.dial()
+	c.send(requestText("PUT", "/pure/", "e", "Content-Length: 1000000\r\n") + string(body[:500000]))
 	r, _ := next()
 	q, err := http.ReadRequest(r)
 	must.NoError(t, err)
@@ -207,13 +207,13 @@
 
 // Once an answer has begun, only its own end or the end of the time ends it: it is not called off for a
 // better one, and what is given up is cut.
-func TestBegun(t *testing.T) {
-	st := openFixture(t)
-	next := st.listenRaw()
+func TestStartedResponseIsNotCancelled(t *testing.T) {
+	st := newFixture(t)
+	next := st.listenBackend()
 	body := randomBody(1 << 20)
 	begin := func(id string) (c *client, conn *net.TCPConn, a *http.Response) {
-		c = st.client()
-		c.send(request("GET", "/pure/", id, ""))
+		c = st.dial()
+		c.send(requestText("GET", "/pure/", id, ""))
 		r, conn := next()
 		http.ReadRequest(r)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id,
@@ -222,18 +222,18 @@
 		must.NoError(t, err)
 		return c, conn, a
 	}
-	for _, verb := range []control.Action{control.Cancel, control.Fail} {
+	for _, action := range []control.Action{control.Cancel, control.Fail} {
 		_, conn, a := begin("g")
 		st.engine.Turn(func() {
-			d := control.Decision{Action: verb}
+			d := control.Decision{Action: action}
 			for d.Txn = range st.module.expiry {
 			}
 			clear(st.module.expiry)
-			st.module.todo = append(st.module.todo, d)
+			st.module.decisions = append(st.module.decisions, d)
 		})
 		conn.Write(body[1000:])
 		got, err := io.ReadAll(a.Body)
-		if verb == control.Cancel {
+		if action == control.Cancel {
 			must.NoError(t, err)
 			must.True(t, bytes.Equal(body, got))
 			conn.Close()
@@ -244,30 +244,30 @@
 		must.Error(t, err)
 	}
 	st.engine.Turn(func() { must.Eq(t, 0, st.gate.InFlight()) })
-	must.Eq(t, 1, st.count(counters.Truncated))
+	must.Eq(t, 1, st.counterValue(counters.Truncated))
 }
 
 // A backend that answers before it has read a long body, keeps the connection and reads on gets nothing there but bytes of that body: the
 // connection carries no other request. Guards against a request that is taken for the rest of another one's body.
-func TestAnsweredBeforeItsBody(t *testing.T) {
-	st := openFixture(t)
-	next := st.listenRaw()
+func TestEarlyResponseReservesConnectionForBody(t *testing.T) {
+	st := newFixture(t)
+	next := st.listenBackend()
 	body := randomBody(3 << 20)
-	c := st.client()
-	c.send(request("POST", "/once/", "early", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
+	c := st.dial()
+	c.send(requestText("POST", "/once/", "early", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
 	go c.Write(body[:len(body)/3]) // the rest of it is still to come
 	r, conn := next()
 	_, err := http.ReadRequest(r)
 	must.NoError(t, err)
-	io.WriteString(conn, okResponse("early", "", "soon"))
+	io.WriteString(conn, okResponseText("early", "", "soon"))
 	must.Eq(t, "soon", c.expectResponse("HTTP/1.1 200 Fine"))
-	other := st.client()
-	other.send(request("GET", "/pure/", "other", ""))
-	fresh, second := next() // on a connection of its own
-	q, err := http.ReadRequest(fresh)
+	other := st.dial()
+	other.send(requestText("GET", "/pure/", "other", ""))
+	secondReader, secondConn := next() // on a connection of its own
+	q, err := http.ReadRequest(secondReader)
 	must.NoError(t, err)
 	must.Eq(t, "other", q.Header.Get("X-Attempt-Id"))
-	io.WriteString(second, okResponse("other", "Connection: close\r\n", "quick"))
+	io.WriteString(secondConn, okResponseText("other", "Connection: close\r\n", "quick"))
 	must.Eq(t, "quick", other.expectResponse("HTTP/1.1 200 Fine"))
 	rest, _ := io.ReadAll(r) // to the connection's end, be it a reset
 	must.True(t, bytes.HasPrefix(body, rest))
