--- a/internal/gateway/ingress/config.go
+++ b/internal/gateway/ingress/config.go
@@ -7,39 +7,41 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// BodyBufferBytes is how many bytes of a body a node holds; a longer one is streamed, up to Limits.MaxBodyBytes.
+// BodyBufferBytes is the size of the largest body, in bytes, that a node buffers. A longer body is streamed, up to
+// Limits.MaxBodyBytes.
 const BodyBufferBytes = 256 << 10
 
-// Bounds that no configuration sets.
+// Limits that cannot be configured.
 const (
-	// maxAttemptIDBytes bounds X-Attempt-Id, in bytes.
+	// maxAttemptIDBytes is the maximum length of the X-Attempt-Id header, in bytes.
 	maxAttemptIDBytes = 128
-	// maxClientDeadline bounds X-Deadline-Ms.
+	// maxClientDeadline is the longest deadline that a client may send in the X-Deadline-Ms header.
 	maxClientDeadline = time.Hour
-	// retryAfterUnready is the Retry-After of a node that awaits a configuration, or has as many requests in flight
-	// as it may.
+	// retryAfterUnready is the Retry-After value that a node sends while the node waits for a configuration, or while
+	// the maximum number of requests is in flight.
 	retryAfterUnready = 300 * time.Millisecond
-	// responseReadTimeout is how long a client may take to read a response.
+	// responseReadTimeout is the maximum time that a client may take to read a response.
 	responseReadTimeout = 10 * time.Second
-	// bodyTimeoutFactor: a request may take so many times Limits.HeadTimeout until it is complete.
+	// bodyTimeoutFactor times Limits.HeadTimeout is the maximum time for receiving a complete request.
 	bodyTimeoutFactor = 10
-	// maxResponseHeadBytes bounds the head of a backend's response, in bytes.
+	// maxResponseHeadBytes is the maximum size of the head of a backend's response, in bytes.
 	maxResponseHeadBytes = 16 << 10
-	// maxResponseBodyBytes bounds the body of a backend's response, in bytes.
+	// maxResponseBodyBytes is the maximum size of the body of a backend's response, in bytes.
 	maxResponseBodyBytes = 64 << 20
-	// defaultIdleTimeout is how long a connection to a backend stays idle where its responses have no Keep-Alive.
+	// defaultIdleTimeout is the maximum idle time of a connection to a backend whose responses have no Keep-Alive header.
 	defaultIdleTimeout = 4 * time.Second
 )
 
-// Limits bound what clients may send and how long they may take. 0 is the default of downstream.Bounds.
+// Limits are the maximum sizes of clients' requests and the timeouts of clients' connections. A zero field stands for
+// the default of downstream.Bounds.
 type Limits struct {
 	MaxHeadBytes int
 	MaxBodyBytes int
-	HeadTimeout  time.Duration // from a request's first byte to the end of its head
-	IdleTimeout  time.Duration // of a client's connection between two requests
+	HeadTimeout  time.Duration // maximum time from the first byte of a request to the end of the request's head
+	IdleTimeout  time.Duration // maximum time between two requests on a client's connection
 }
 
-// Bounds gives the bounds of a server of clients' connections under such limits.
+// DownstreamBounds returns the bounds of a downstream.Server that enforces the limits l.
 func DownstreamBounds(l Limits) downstream.Bounds {
 	return downstream.Bounds{
 		Head:           l.MaxHeadBytes,
@@ -52,7 +54,7 @@
 	}
 }
 
-// UpstreamConfig gives the configuration of the connections to backends. dial bounds how long one takes to open.
+// UpstreamConfig returns the configuration of the connections to backends. dial is the timeout for opening a connection.
 func UpstreamConfig(catalog Catalog, dial time.Duration) upstream.Config {
 	return upstream.Config{
 		Dialect:     NewDialect(catalog),
--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -9,30 +9,33 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// A connection to a backend is kept idle for a part of what its Keep-Alive header grants: a request that is written
-// to one just being closed may be lost, and nobody knows then whether it ran.
+// The idle timeout of a connection to a backend is the timeout of the backend's Keep-Alive header, times
+// idleTimeoutFactor, minus idleTimeoutMargin. A request that is written while the backend closes the connection may be
+// lost, and the gateway cannot tell whether such a request ran.
 const (
 	idleTimeoutFactor = 0.8
 	idleTimeoutMargin = 100 * time.Millisecond
 )
 
-// maxKeepAliveSeconds bounds the timeout of a Keep-Alive header.
+// maxKeepAliveSeconds is the largest accepted timeout of a Keep-Alive header, in seconds.
 const maxKeepAliveSeconds = 1 << 20
 
 // Dialect interprets the responses of the gateway's backends.
 type Dialect struct{ catalog Catalog }
 
-// NewDialect makes it. Of the catalog only BackendReplaced is called.
+// NewDialect returns a Dialect. The Dialect only calls the method BackendReplaced of catalog.
 func NewDialect(catalog Catalog) *Dialect { return &Dialect{catalog} }
 
-// Wary is true: a backend may begin as soon as any byte of a request has reached it.
+// Wary returns true because a backend may start to run a request as soon as the backend has received any byte of the
+// request.
 func (*Dialect) Wary() bool { return true }
 
-// Read tells what a response proves. Only X-Not-Run and 421 prove that the request did not run.
+// Read returns the meaning of a response for the request that was sent on the connection. Only the X-Not-Run header and
+// status 421 prove that the request did not run. A response with the ID of another request is marked as Other.
 func (d *Dialect) Read(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
 	id, repeated := head.Get(message, "x-attempt-id")
 	if len(id) == 0 || repeated {
-		return upstream.Meaning{Ending: control.ConnectionLost} // no backend answers like this
+		return upstream.Meaning{Ending: control.ConnectionLost} // backends always send exactly one ID
 	}
 	if string(id) != carried.ID {
 		return upstream.Meaning{Other: true}
@@ -47,7 +50,8 @@
 	return meaning
 }
 
-// interpret tells what the status and the headers of the request's own response prove.
+// interpretStatus returns the meaning of the status and the headers of a response whose ID matches the request. Status
+// 421 means that a different backend than the expected one answered; the catalog is notified.
 func (d *Dialect) interpretStatus(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
 	meaning := upstream.Meaning{Ending: control.Errored}
 	notRun, _ := head.Get(message, "x-not-run")
@@ -61,23 +65,25 @@
 		if hasValidSeal(head, message) {
 			meaning.Ending = control.Succeeded
 		}
-	case status == 408 || status == 429 || status == 503: // without X-Not-Run: the request may have run
+	case status == 408 || status == 429 || status == 503: // without X-Not-Run, the request may have run
 	case status < 500:
-		meaning.Ending = control.Succeeded // the service's own response, whatever it says
+		meaning.Ending = control.Succeeded // a response of the service itself
 	default:
 		meaning.Final = carried.Once
 	}
 	return meaning
 }
 
-// isSealed tells whether a backend vouches for a response whose body nobody has recoded.
+// hasValidSeal reports whether a response has an X-Backend-Seal header and no content encoding. An encoding shows that
+// an intermediary may have changed the body after the backend sealed the response.
 func hasValidSeal(head *http1.Reader, message []byte) bool {
 	seal, _ := head.Get(message, "x-backend-seal")
 	encoding, _ := head.Get(message, "content-encoding")
 	return len(seal) > 0 && (len(encoding) == 0 || http1.Same(encoding, "identity"))
 }
 
-// keepAliveTimeout reads the seconds of a Keep-Alive header's timeout; false: it has none.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header. The second result is false if the header
+// has no valid timeout.
 func keepAliveTimeout(value []byte) (time.Duration, bool) {
 	for len(value) > 0 {
 		var parameter []byte
--- a/internal/gateway/ingress/forward.go
+++ b/internal/gateway/ingress/forward.go
@@ -9,9 +9,9 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// AppendTo writes the request that goes to a backend: method, target, body and end-to-end headers as they came, with
-// the backend's ID, the tenant and the time that is left. It adds nothing once the client has left, the backend is
-// not known any more, or some of a streamed body was forwarded before.
+// AppendTo appends the request for a backend to b. Method, target, body and end-to-end headers are those of the client.
+// AppendTo adds the backend's ID, the tenant and the remaining time. It appends nothing if the client has disconnected,
+// if the backend is no longer known, or if a part of a streamed body was already forwarded.
 func (h *Handler) AppendTo(b []byte, who, txn slots.Ref, backendID control.BackendID, timeLeft time.Duration) []byte {
 	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
@@ -38,7 +38,7 @@
 	b = http1.AppendNumber(b, "X-Deadline-Ms", max(int(timeLeft/time.Millisecond), 1))
 	length, known, chunked := head.Framed()
 	var body []byte
-	if !c.Flows() { // the chunks of a body that came in chunks were joined
+	if !c.Flows() { // the chunks of a buffered body were joined
 		body = head.Body(message)
 		length, known, chunked = len(body), known || chunked || alwaysSendsLength(head.Method(message)), false
 	}
@@ -46,13 +46,13 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// alwaysSendsLength tells whether a method's requests say their length though they have no body (RFC 9110, 8.6).
+// alwaysSendsLength reports whether requests of a method have a Content-Length header even without a body (RFC 9110, 8.6).
 func alwaysSendsLength(method []byte) bool {
 	return string(method) == "POST" || string(method) == "PUT" || string(method) == "PATCH"
 }
 
-// appendHead writes the head of the response that goes to a client: status and end-to-end headers as they came from
-// the backend. toHEAD: it answers a HEAD; last: no request follows on the connection.
+// appendHead appends the head of the response for a client to b. Status and end-to-end headers are those of the backend.
+// isHEAD means that the request's method is HEAD. last means that the connection is closed after the response.
 func appendHead(b []byte, head *http1.Reader, message []byte, isHEAD, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(head.Status()), 10)
@@ -60,7 +60,7 @@
 	b = appendEndToEnd(b, head, message, dropNoHeader)
 	switch length, known, chunked := head.Framed(); {
 	case head.Status() == 204:
-	case isHEAD || head.Status() == 304: // the length is that of a body which does not come
+	case isHEAD || head.Status() == 304: // Content-Length describes a body that is not sent
 		if declared, _ := head.Get(message, "content-length"); len(declared) > 0 {
 			b = http1.AppendHeader(b, "Content-Length", declared)
 		}
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -11,85 +11,89 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Admission is what the configuration says of a request.
+// Admission holds the settings that the configuration assigns to a request.
 type Admission struct {
-	Product    control.ProductID
-	Customer   control.CustomerID
-	Tenant     string // sent to the backend; "": none
-	Priority   int    // of its tenant, 0 is highest: it goes before the route's
-	Metered    bool   // it draws on the customer's quota
-	AtMostOnce bool   // it may run at most once: not idempotent
-	Deadline   time.Duration
+	Product  control.ProductID
+	Customer control.CustomerID
+	Tenant   string // name that is sent to the backend; empty for none
+	// Priority is the priority of the tenant; 0 is the highest. The tenant's priority overrides the route's.
+	Priority   int
+	Metered    bool          // the request consumes units of the customer's quota
+	AtMostOnce bool          // the request is not idempotent and may run at most once
+	Deadline   time.Duration // maximum time until the response; 0 if only the client's deadline applies
 }
 
-// Rejection is why a request is not admitted.
+// Rejection is the reason why a request is not admitted.
 type Rejection int
 
-// Why a request goes to no backend.
+// The reasons why a request is not sent to a backend, with the status of the response.
 const (
 	NotRejected          Rejection = iota
-	NoRoute                        // 404: no route of that host begins that path
-	InvalidKey                     // 401: the route needs a key, and this one is not known
-	ConfigurationPending           // 503: a configuration that has not come here yet might allow it
+	NoRoute                        // 404: no route of the host is a prefix of the path
+	InvalidKey                     // 401: the route requires a key, and the request's key is missing or unknown
+	ConfigurationPending           // 503: a newer configuration, not yet received, might admit the request
 )
 
-// Catalog is what a node knows of configurations and backends. Its methods are called in a turn, and must not
-// block.
+// Catalog gives access to a node's configuration and backends. The methods are called in a turn of the event loop and
+// must not block.
 type Catalog interface {
-	// Admit looks a request up. host is in lower case and without a port, path without the query; key is nil
-	// without one.
+	// Admit returns the settings for a request, or the reason for a rejection. host is in lower case and has no port.
+	// path has no query. key is nil if the request has no API key.
 	Admit(host, path, key []byte) (Admission, Rejection)
-	// BackendName is the id that a backend goes by; "" if it is not known any more: then nothing is sent to it.
+	// BackendName returns the external ID of a backend, or "" if the backend is no longer known. No request is sent to an
+	// unknown backend.
 	BackendName(at control.BackendID) string
-	// BackendReplaced is called when another backend answered at this one's address.
+	// BackendReplaced is called when a different backend answered at the address of the backend at.
 	BackendReplaced(at control.BackendID)
 }
 
-// Clock is the turn's time, and how long bytes may have lain unread.
+// Clock gives the time of the present turn by Now. InputDelay returns the longest time that bytes read in the turn may
+// have waited in the socket because the process was paused.
 type Clock interface {
 	Now() time.Duration
 	InputDelay() time.Duration
 }
 
-// Gate takes requests, and is notified of clients that leave and of progress of a streamed body.
+// Gate accepts requests. The gate is notified of clients that disconnect and of the progress of streamed bodies.
 type Gate interface {
 	downstream.Gate
 	More(txn slots.Ref)
 }
 
-// Handler admits clients' requests and is the gate's front for them.
+// Handler admits clients' requests and passes them to the gate. Handler implements gate.Streamer, by which the gate reads
+// requests and sends responses.
 type Handler struct {
 	server  *downstream.Server
 	clock   Clock
 	gate    Gate
 	catalog Catalog
 
-	// Scratch buffers, each valid until its next use: they spare an allocation a request.
-	hostBuffer  []byte // see canonicalHost
-	chunkBuffer []byte // see Pass
-	userBuffer  []byte // see User
+	// Scratch buffers save an allocation for each request. The content of a buffer is valid until the next use.
+	hostBuffer  []byte // result of canonicalHost
+	chunkBuffer []byte // chunk that Pass writes
+	userBuffer  []byte // result of User
 }
 
-// requestState is what is known of the request in flight on a client's connection.
+// requestState is the state of the request in flight on a client's connection.
 type requestState struct {
 	Admission
-	expiry          time.Duration // in the turn's time
-	bodySent        bool          // some of a streamed body was forwarded
-	bodyErr         error         // why a streamed body can't be read on
-	chunkedResponse bool          // the response goes out in chunks
+	expiry          time.Duration // deadline on the clock of the event loop
+	bodySent        bool          // a part of a streamed body was forwarded
+	bodyErr         error         // error in the framing of a streamed body; nil for none
+	chunkedResponse bool          // the response is sent with chunked transfer coding
 }
 
-// New makes the handler of a server's requests, and registers it there.
+// New returns a Handler for the requests of server, and registers the Handler with server.
 func New(server *downstream.Server, clock Clock, gate Gate, catalog Catalog) *Handler {
 	h := &Handler{server: server, clock: clock, gate: gate, catalog: catalog}
 	server.SetHandler(h)
 	return h
 }
 
-// Take admits a request, or rejects it. It is called once the request is complete, or its head is where the body is
-// streamed.
+// Take admits or rejects a request. Take is called when the request is complete, or when the head is complete if the body
+// is streamed.
 func (h *Handler) Take(c *downstream.Client) {
-	// Bytes behind a message that no message begins with show that its length was wrong.
+	// If the bytes after a message can't start another message, the length of the message was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
 		c.RejectUnreadable(http1.ErrFraming)
 		return
@@ -113,8 +117,8 @@
 	c.AwaitAnswer(ref, string(r.id))
 }
 
-// begin sets the connection's state for an admitted request, and gives the transaction that the gate decides on.
-// deadline is the client's; 0: it gave none.
+// startRequest sets the connection's state for an admitted request, and returns the transaction for the gate. deadline is
+// the deadline that the client sent; 0 means that the client sent none.
 func (h *Handler) startRequest(c *downstream.Client, a Admission, deadline time.Duration) control.Txn {
 	if deadline == 0 || a.Deadline > 0 && a.Deadline < deadline {
 		deadline = a.Deadline
@@ -124,7 +128,8 @@
 		state = &requestState{}
 		c.UserData = state
 	}
-	// The client counts from when it sent. After a standstill the request may have lain unread for all of it.
+	// The client's deadline starts when the client sends the request. After a process pause, the request may have waited
+	// in the socket for the whole pause, so InputDelay is subtracted.
 	expiry := h.clock.Now() + max(deadline-h.clock.InputDelay(), 0)
 	*state = requestState{Admission: a, expiry: expiry}
 	txn := control.Txn{Customer: a.Customer, Product: a.Product, Plan: control.PlanID(a.Priority), Expiry: expiry, SetWidth: 1}
@@ -134,7 +139,7 @@
 	return txn
 }
 
-// rejectFor answers a request that the catalog does not admit.
+// rejectNotAdmitted answers a request that the catalog did not admit.
 func (h *Handler) rejectNotAdmitted(c *downstream.Client, id []byte, reason Rejection) {
 	switch reason {
 	case NoRoute:
@@ -146,7 +151,8 @@
 	}
 }
 
-// reject answers without a body. after is the Retry-After; 0: none.
+// reject counts a rejection and sends a response without a body. retryAfter is the value of the Retry-After header; 0
+// means no header.
 func (h *Handler) reject(c *downstream.Client, id []byte, status int, counter counters.ID, retryAfter time.Duration) {
 	h.server.Count(counter)
 	c.Answer(func(b []byte, last bool) []byte {
@@ -154,8 +160,10 @@
 	})
 }
 
-// User names the user that a request comes from, for a roll-out's share of users, and its tenant: the client's mark together
-// with its key, where it has one, else the key; nil where there is neither. It is valid until the next call.
+// User returns an identifier of the user who sent a request, and the user's tenant. A rollout selects a share of the users
+// by this identifier. The identifier is the API key, followed by a zero byte and the X-Client-Mark header if the request
+// has one such header. The identifier is empty if the request has neither, or if the client has disconnected. The
+// identifier is valid until the next call.
 func (h *Handler) User(who, txn slots.Ref) (user []byte, tenant string) {
 	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
@@ -170,19 +178,20 @@
 	return h.userBuffer, stateOf(c).Tenant
 }
 
-// Left is called when the client of a request has left.
+// Left notifies the gate that the client of a request has disconnected.
 func (h *Handler) Left(txn slots.Ref) { h.gate.Left(txn) }
 
-// ID is a request's X-Attempt-Id, while its client waits.
+// ID returns the X-Attempt-Id of a request while the request's client waits for the response.
 func (h *Handler) ID(who, txn slots.Ref) string { return h.server.ID(who, txn) }
 
-// Once tells whether a request may run at most once. It is true once the client has left: nothing is sent then any more.
+// Once reports whether a request may run at most once. Once returns true if the client is gone, because the request is
+// then no longer sent to any backend.
 func (h *Handler) Once(who, txn slots.Ref) bool {
 	c := h.server.ClientOf(who, txn)
 	return c == nil || stateOf(c).AtMostOnce
 }
 
-// stateOf is the state of a connection's request; nil without a connection.
+// stateOf returns the state of the request on a connection, or nil if c is nil.
 func stateOf(c *downstream.Client) *requestState {
 	if c == nil {
 		return nil
--- a/internal/gateway/ingress/headers.go
+++ b/internal/gateway/ingress/headers.go
@@ -4,8 +4,8 @@
 	"clovergap/internal/proxy/http1"
 )
 
-// isHopByHop tells whether a header concerns one connection only, or is written anew by appendFraming. The length
-// comes first: most headers need no comparison.
+// isHopByHop reports whether a header applies to a single connection, or is replaced by the header that appendFraming
+// writes. The length of the name is compared first, so most headers need no comparison of strings.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
@@ -30,23 +30,24 @@
 	return false
 }
 
-// isGatewayHeader tells whether a header of a request is the gateway's own to set, whatever a client says.
+// isGatewayHeader reports whether a request header of the client is dropped, because the gateway writes the header itself
+// or because the header is not meant for the backend (Authorization).
 func isGatewayHeader(name []byte) bool {
 	return http1.Same(name, "x-tenant") || http1.Same(name, "x-expect-backend") || http1.Same(name, "x-deadline-ms") ||
 		http1.Same(name, "host") || http1.Same(name, "authorization")
 }
 
-// isProtected tells whether a header is forwarded even where Connection names it: without it the attempt can't be
-// told from another.
+// isProtected reports whether a header is forwarded even if the Connection header names it. Without the protected headers
+// a response can't be matched with the request.
 func isProtected(name []byte) bool {
 	return http1.Same(name, "x-attempt-id") || http1.Same(name, "x-backend-seal")
 }
 
-// connectionOptions are the headers that a message's Connection header names, which are then hop-by-hop too.
+// connectionOptions are the header names that a message's Connection headers list. The listed headers are hop-by-hop.
 type connectionOptions struct {
 	head     *http1.Reader
 	message  []byte
-	nonEmpty bool // false spares a search for each header
+	nonEmpty bool // if false, contains need not search the message
 }
 
 func newConnectionOptions(head *http1.Reader, message []byte) connectionOptions {
@@ -59,7 +60,7 @@
 	return options
 }
 
-// names tells whether Connection names a header.
+// contains reports whether a Connection header of the message lists header.
 func (c *connectionOptions) contains(header []byte) (found bool) {
 	if !c.nonEmpty {
 		return false
@@ -76,7 +77,8 @@
 	return len(name) == len("connection") && http1.Same(name, "connection")
 }
 
-// appendEndToEnd adds the headers of a message that are neither hop-by-hop nor dropped, as they came.
+// appendEndToEnd appends the headers of a message to b without changes. Hop-by-hop headers are left out, and so are the
+// headers for which drop returns true.
 func appendEndToEnd(b []byte, head *http1.Reader, message []byte, drop func(name []byte) bool) []byte {
 	options := newConnectionOptions(head, message)
 	head.Each(message, func(name, value []byte) {
@@ -88,10 +90,11 @@
 	return b
 }
 
-// noHeader drops none.
+// dropNoHeader returns false for every header. It is used as the argument drop of appendEndToEnd.
 func dropNoHeader([]byte) bool { return false }
 
-// appendFraming adds the header that says where a body ends. known: a length is written though the body may be empty.
+// appendFraming appends the header that determines the end of a body: Transfer-Encoding if chunked is true, else
+// Content-Length if known is true, even if length is 0.
 func appendFraming(b []byte, length int, known, chunked bool) []byte {
 	switch {
 	case chunked:
--- a/internal/gateway/ingress/outcome.go
+++ b/internal/gateway/ingress/outcome.go
@@ -9,7 +9,7 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Complete sends a client the response of a backend, which is complete.
+// Complete sends the complete response of a backend to the client.
 func (h *Handler) Complete(who, txn slots.Ref, o gate.Outcome) {
 	if c := h.server.ClientToAnswer(who, txn); c != nil {
 		head, message := c.Request()
@@ -20,8 +20,8 @@
 	}
 }
 
-// Reject answers that a request has not run and never will: 429 where the customer's quota is used up, else 503. after
-// is the Retry-After; 0: none.
+// Reject answers a request that has not run and never will. The status is 429 if the customer's quota is exhausted, else
+// 503. retryAfter is the value of the Retry-After header; 0 means no header.
 func (h *Handler) Reject(who, txn slots.Ref, retryAfter time.Duration, reason control.Reason) {
 	status := 503
 	if reason == control.ReasonNoUnits {
@@ -30,7 +30,7 @@
 	h.answerStatus(who, txn, status, retryAfter)
 }
 
-// Fail answers that a request failed and may have run: 504 where its time is over, else 502.
+// Fail answers a request that failed and may have run. The status is 504 if the deadline has passed, else 502.
 func (h *Handler) Fail(who, txn slots.Ref, reason control.Reason) {
 	status := 502
 	if c := h.server.ClientOf(who, txn); reason == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
@@ -39,7 +39,8 @@
 	h.answerStatus(who, txn, status, 0)
 }
 
-// finish answers without a body. Where the request's own body was wrong, that is the client's fault and goes first.
+// answerStatus sends a response without a body. If the framing of the request's body was invalid, the response reports
+// that error instead of status, because the client caused the failure.
 func (h *Handler) answerStatus(who, txn slots.Ref, status int, retryAfter time.Duration) {
 	c := h.server.ClientToAnswer(who, txn)
 	switch state := stateOf(c); {
--- a/internal/gateway/ingress/request.go
+++ b/internal/gateway/ingress/request.go
@@ -9,22 +9,23 @@
 	"clovergap/internal/proxy/http1"
 )
 
-// clientRequest is what the gateway reads of a client's request. Its bytes are the connection's: valid while it waits.
+// clientRequest holds the parsed fields of a client's request. The slices refer to the connection's buffer and are valid
+// only while the request waits for its response.
 type clientRequest struct {
-	id       []byte // X-Attempt-Id
-	host     []byte // as it came
-	path     []byte // without the query
-	key      []byte // nil: none
-	deadline time.Duration
+	id       []byte        // X-Attempt-Id
+	host     []byte        // as the client sent it, with any port
+	path     []byte        // without the query
+	key      []byte        // API key; nil for none
+	deadline time.Duration // time that the client waits; 0 if the client sent no deadline
 }
 
-// problem is why a request is answered with 400; the zero value is none.
+// requestProblem is the reason why a request is answered with 400. The zero value means that the request is valid.
 type requestProblem struct {
 	text    string
 	counter counters.ID
 }
 
-// parseRequest reads a request. What it says wrongly is named in the order of the checks below.
+// parseRequest returns the parsed fields of a request, or the first problem in the order of the checks below.
 func parseRequest(c *downstream.Client) (clientRequest, requestProblem) {
 	head, message := c.Request()
 	target := head.Target(message)
@@ -48,7 +49,8 @@
 	return clientRequest{id: id, host: host, path: path, key: key, deadline: deadline}, requestProblem{}
 }
 
-// apiKey reads a key, which is sent as `Token KEY`; other credentials are passed over. nil: there is none.
+// apiKey returns the API key of a request, which is sent as `Authorization: Token KEY`. The key is nil if the header is
+// missing or uses another scheme. repeated means that the request has more than one Authorization header.
 func apiKey(head *http1.Reader, message []byte) (key []byte, repeated bool) {
 	value, repeated := head.Get(message, "authorization")
 	const scheme = "token "
@@ -58,8 +60,8 @@
 	return bytes.TrimLeft(value[len(scheme):], " "), repeated
 }
 
-// clientDeadline reads how long the client waits, at least 1 ns; 0: it does not say. A fraction of a millisecond is
-// cut off.
+// clientDeadline returns the value of the X-Deadline-Ms header, at least 1 ns, or 0 if the header is missing. A fraction of
+// a millisecond is dropped. valid is false if the header is not a number, is too large or is repeated.
 func clientDeadline(head *http1.Reader, message []byte) (deadline time.Duration, valid bool) {
 	value, repeated := head.Get(message, "x-deadline-ms")
 	if value == nil {
@@ -70,9 +72,9 @@
 	return max(time.Duration(ms)*time.Millisecond, 1), ok && !repeated
 }
 
-// canonicalHost gives a host in lower case, without its port. It is valid until the next call.
+// canonicalHost returns a host in lower case and without the port. The result is valid until the next call.
 func (h *Handler) canonicalHost(host []byte) []byte {
-	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 { // an IPv6 address has colons of its own
+	if i := bytes.LastIndexByte(host, ':'); i >= 0 && bytes.IndexByte(host[i:], ']') < 0 { // an IPv6 address contains colons
 		host = host[:i]
 	}
 	for i, c := range host {
--- a/internal/gateway/ingress/streaming.go
+++ b/internal/gateway/ingress/streaming.go
@@ -6,37 +6,39 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// maxPartBytes is about how many bytes of a streamed body are read at a time.
+// maxPartBytes is the approximate number of bytes of a streamed body that one call of Part reads. A call may read more,
+// because the check follows the read.
 const maxPartBytes = 64 << 10
 
 // Chunked transfer coding (RFC 9112, 7.1).
 const (
 	chunkSizeDigits      = 8
-	chunkSizePlaceholder = "00000000\r\n" // stands before a chunk's data until its size is known
+	chunkSizePlaceholder = "00000000\r\n" // reserves the space of a chunk's size line
 	lastChunk            = "0\r\n\r\n"
 )
 
-// More is called when more of a streamed request body has come, or its client is ready for more of the response.
+// More notifies the gate that more of a streamed request body has arrived, or that the client can accept more of the
+// response.
 func (h *Handler) More(c *downstream.Client) {
 	if txn := c.Txn(); txn != 0 {
 		h.gate.More(txn)
 	}
 }
 
-// Flows tells whether a request's body is streamed.
+// Flows reports whether the body of a request is streamed.
 func (h *Handler) Flows(who, txn slots.Ref) bool {
 	c := h.server.ClientOf(who, txn)
 	return c != nil && c.Flows()
 }
 
-// BodyConsumed tells whether some of a streamed body was forwarded: the request can't be sent again.
+// BodyConsumed reports whether a part of a streamed body was forwarded. Such a request can't be sent again.
 func (h *Handler) BodyConsumed(who, txn slots.Ref) bool {
 	c := h.server.ClientOf(who, txn)
 	return c != nil && c.Flows() && stateOf(c).bodySent
 }
 
-// Part adds what has come of such a body to b, in the request's own framing. complete: its end is among it. Not ok: the
-// body can't be read on, or its client has left, and no more will come.
+// Part appends the received data of a streamed body to b, in the framing of the client's request. complete means that b
+// contains the end of the body. ok is false if the framing is invalid or the client has disconnected; no more data follows.
 func (h *Handler) Part(b []byte, who, txn slots.Ref) (out []byte, complete, ok bool) {
 	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() || !c.Flows() {
@@ -71,8 +73,8 @@
 	return b, complete, !c.IsClosed()
 }
 
-// closeChunk writes the size of a chunk over the placeholder at start, before its n bytes of data. A chunk without data
-// is taken out: it would be the last one.
+// finishChunk replaces the placeholder at start by the size n of the chunk, and appends the line end after the n bytes of
+// data. If n is 0, finishChunk removes the placeholder, because an empty chunk would mark the end of the body.
 func finishChunk(b []byte, start, n int) []byte {
 	if n == 0 {
 		return b[:start]
@@ -83,7 +85,8 @@
 	return append(b, "\r\n"...)
 }
 
-// Begin writes the head of a streamed response. false: the client has left, or speaks HTTP/1.0 and can't read chunks.
+// Begin writes the head of a streamed response. Begin returns false if the client has disconnected, or if the response is
+// chunked and the client uses HTTP/1.0, which has no chunked coding.
 func (h *Handler) Begin(who, txn slots.Ref, o gate.Outcome) bool {
 	c := h.server.ClientToAnswer(who, txn)
 	if c == nil {
@@ -98,7 +101,7 @@
 	return !c.IsClosed()
 }
 
-// Writable is how many bytes of a streamed response its client is ready for; below 0: the client has left.
+// Writable returns how many bytes of a streamed response may be written now, or -1 if the client has disconnected.
 func (h *Handler) Writable(who, txn slots.Ref) int {
 	c := h.server.ClientOf(who, txn)
 	if c == nil || c.IsClosed() {
@@ -107,7 +110,7 @@
 	return max(c.Writable(), 0)
 }
 
-// Pass writes a part of it.
+// Pass writes a part of the body of a streamed response to the client.
 func (h *Handler) Pass(who, txn slots.Ref, part []byte) {
 	c := h.server.ClientOf(who, txn)
 	if c == nil {
@@ -120,7 +123,8 @@
 	c.Pass(part)
 }
 
-// End ends it. One that is not complete is broken off, so that it does not look complete.
+// End finishes a streamed response. If the response is not complete, End closes the connection so that the client can
+// detect the truncation.
 func (h *Handler) End(who, txn slots.Ref, complete bool) {
 	c := h.server.ClientOf(who, txn)
 	if c == nil {
