--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -22,14 +22,15 @@
 	"clovergap/internal/proxy/upstream"
 )
 
-// testTimeout bounds every wait of these tests; none of them depends on how long anything takes within it.
+// testTimeout is the maximum duration of every wait in these tests. No test depends on how long an operation takes within
+// testTimeout.
 const testTimeout = 20 * time.Second
 
-// module is the least module there may be: each request goes to the one backend; what never ran is declined,
-// what may have is voided.
+// fakeModule is a minimal control module. It submits each request to backend 7. It rejects a request that never ran, and
+// fails a request that may have run.
 type fakeModule struct {
 	decisions    []control.Decision
-	rejectReason control.Reason // set: requests are declined for it
+	rejectReason control.Reason // if not 0, every request is rejected for this reason
 	expiry       map[control.TxnID]time.Duration
 }
 
@@ -69,6 +70,7 @@
 	return d, true
 }
 
+// clock is the event loop's clock for the gate. Its alarms wake wakeTarget, which is the gate.
 type clock struct {
 	*eventloop.Engine
 	wakeTarget eventloop.Alarm
@@ -76,10 +78,11 @@
 
 func (c *clock) Wake(at time.Duration, nr uint32) { c.At(at, c.wakeTarget, nr) }
 
-// lookups knows one host, with /pure/, /once/ and /open/.
+// fakeCatalog has routes for one host: /pure/ and /once/ require the API key k1, /open/ requires none. Requests to /once/
+// may run at most once.
 type fakeCatalog struct {
-	configurationPending bool
-	replaced             []control.BackendID
+	configurationPending bool                // Admit rejects every request with ConfigurationPending
+	replaced             []control.BackendID // arguments of the calls of BackendReplaced
 }
 
 func (f *fakeCatalog) Admit(host, path, key []byte) (Admission, Rejection) {
@@ -99,7 +102,7 @@
 func (f *fakeCatalog) BackendName(control.BackendID) string { return "i-7" }
 func (f *fakeCatalog) BackendReplaced(at control.BackendID) { f.replaced = append(f.replaced, at) }
 
-// fixture is a node's data path between a client and a backend that answers as told.
+// fixture is the data path of a node between a client and a backend whose responses the test scripts.
 type fixture struct {
 	t        *testing.T
 	engine   *eventloop.Engine
@@ -150,7 +153,8 @@
 
 func (c *client) send(text string) { io.WriteString(c, text) }
 
-// expectResponse checks an answer's first line, the headers that are named, and its body.
+// expectResponse reads a response and checks the status line and the given headers. A header with the prefix "!" must be
+// absent. expectResponse returns the body.
 func (c *client) expectResponse(line string, headers ...string) string {
 	c.t.Helper()
 	head, body, err := standin.ReadMessage(c.reader)
@@ -188,7 +192,8 @@
 		id, more, len(body), body)
 }
 
-// What goes on is what came, but for what concerns one connection and what the gateway says itself.
+// Guards against requests and responses that are forwarded with changes. Hop-by-hop headers must be dropped, and the
+// gateway headers of the client must be replaced. All other headers and the body must stay.
 func TestForwardedHeadersAndBody(t *testing.T) {
 	st := newFixture(t)
 	c := st.dial()
@@ -225,7 +230,8 @@
 	c.expectEOF()
 }
 
-// Not knowing is not "no", and what can't be a request is told so at once.
+// Guards against a wrong status for a rejected request. A node whose configuration is pending must answer 503 and not 404
+// or 401. Malformed requests must get a 4xx without a connection to a backend.
 func TestRejectedRequests(t *testing.T) {
 	st := newFixture(t)
 	good := requestText("GET", "/pure/", "r", "")
@@ -260,7 +266,8 @@
 	must.Eq(t, 0, st.counterValue(counters.Dials))
 }
 
-// Each way that a submission may end, and what its client is told.
+// Guards against a wrong status for the client after each outcome of a submission to a backend. A response that does not
+// prove that the request did not run must never become a 503, since the client may then safely retry.
 func TestAnswerForEachBackendOutcome(t *testing.T) {
 	st := newFixture(t)
 	responder := func(status, more string) func(*standin.Call) {
@@ -271,27 +278,27 @@
 	const unavailable, bad = "503 Service Unavailable", "502 Bad Gateway"
 	for _, x := range []struct {
 		what   string
-		says   func(*standin.Call)
-		pure   string
-		once   string
-		ending counters.ID
+		says   func(*standin.Call) // writes the response of the backend
+		pure   string              // status line for the client of a request that may run again
+		once   string              // status line for the client of a request that may run at most once
+		ending counters.ID         // counter that must increase by 1
 	}{
-		{"own failure", responder("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
-		{"own deadline", responder("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
-		{"own word", responder("403 No", ""), "403 No", "403 No", counters.EndAnswered},
-		{"full", responder("503 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
-		{"busy", responder("429 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
-		{"another", responder("421 Wrong", ""), unavailable, unavailable, counters.EndFull},
-		{"promise without a word", responder("503 Full", ""), bad, bad, counters.EndErrored},
-		{"no seal", responder("200 OK", ""), bad, bad, counters.EndErrored},
-		{"encoded", responder("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
-		{"no id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
+		{"500 without X-Not-Run", responder("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
+		{"504 without X-Not-Run", responder("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
+		{"403 of the service", responder("403 No", ""), "403 No", "403 No", counters.EndAnswered},
+		{"503 with X-Not-Run", responder("503 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
+		{"429 with X-Not-Run", responder("429 Full", "X-Not-Run: 1\r\n"), unavailable, unavailable, counters.EndFull},
+		{"421 of a different backend", responder("421 Wrong", ""), unavailable, unavailable, counters.EndFull},
+		{"503 without X-Not-Run", responder("503 Full", ""), bad, bad, counters.EndErrored},
+		{"200 without X-Backend-Seal", responder("200 OK", ""), bad, bad, counters.EndErrored},
+		{"200 with Content-Encoding", responder("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
+		{"500 without X-Attempt-Id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
 			bad, bad, counters.EndBroken},
-		{"cut", func(x *standin.Call) { x.Answer(okResponseText("e", "", "some")[:80]); x.Conn.Close() },
+		{"response body truncated", func(x *standin.Call) { x.Answer(okResponseText("e", "", "some")[:80]); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
-		{"reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() },
+		{"connection reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() },
 			bad, bad, counters.EndBroken},
-		{"noise", func(x *standin.Call) { x.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
+		{"response is not HTTP", func(x *standin.Call) { x.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
 	} {
 		for path, line := range map[string]string{"/pure/": x.pure, "/once/": x.once} {
 			c, before := st.dial(), st.counterValue(x.ending)
@@ -304,8 +311,9 @@
 	must.Eq(t, []control.BackendID{7, 7}, st.catalog.replaced)
 }
 
-// A failure bears a backend's seal only where it is that backend's, with the status that it gave: what the gateway answers itself
-// bears none, whatever the backend had begun to say.
+// Guards against responses of the gateway that carry the X-Backend-Seal header of a backend. Only a complete response of
+// the backend may have the seal, and must then have the status of the backend. The failure would occur if the gateway
+// copied headers of a rejected or truncated response.
 func TestGatewayErrorsHaveNoBackendSeal(t *testing.T) {
 	st := newFixture(t)
 	for _, status := range []string{"200 OK", "204 Empty", "302 Away", "403 No", "408 Slow", "421 Wrong", "429 Full", "500 Oops", "502 Bad",
@@ -320,7 +328,7 @@
 					if status == "204 Empty" {
 						text = strings.Replace(text, "Content-Length: 2\r\n\r\nno", "\r\n", 1)
 					}
-					if cut { // after the head, in the middle of the body
+					if cut { // the last byte of the response is missing
 						x.Answer(text[:len(text)-1])
 						x.Conn.Close()
 					} else {
@@ -341,7 +349,8 @@
 	}
 }
 
-// An answer with another id is passed over and the right one awaited; one too many ends its connection.
+// Guards against a response that reaches the wrong client. A response with the ID of another request must be skipped. A
+// surplus response must close the connection to the backend.
 func TestResponseWithOtherAttemptIDIsSkipped(t *testing.T) {
 	st := newFixture(t)
 	c := st.dial()
@@ -355,7 +364,8 @@
 	must.Eq(t, 1, st.counterValue(counters.OtherAnswer))
 }
 
-// A connection is used as long as its backend says, less a margin, and never more of them than allowed.
+// Guards against requests on a connection that the backend may be closing, and against more connections to a backend than
+// the limit. A connection must be reused only within the backend's Keep-Alive timeout minus a margin.
 func TestBackendConnectionReuseAndLimit(t *testing.T) {
 	dialect := NewDialect(nil)
 	for text, want := range map[string]time.Duration{"timeout=5, max=9": 3900 * time.Millisecond, "max=9": 0} {
@@ -375,7 +385,7 @@
 	other.expectResponse("HTTP/1.1 503 Service Unavailable")
 	x.Answer(okResponseText("m1", "", "a"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	c.send(requestText("GET", "/pure/", "m3", "")) // at once: it has not rested, and no other may be opened
+	c.send(requestText("GET", "/pure/", "m3", "")) // reuses the connection, since the limit is 1
 	st.backend.Next().Answer(okResponseText("m3", "Keep-Alive: timeout=0\r\n", "b"))
 	c.expectResponse("HTTP/1.1 200 Fine")
 	must.Eq(t, 1, st.counterValue(counters.Dials))
@@ -385,7 +395,7 @@
 	must.Eq(t, 2, st.counterValue(counters.Dials))
 }
 
-// A form that answers later finds the one that asked, and nobody else.
+// deferredHandler does not answer a request in Take. It passes the request's ticket to the test, which answers later.
 type deferredHandler struct {
 	in      *downstream.Server
 	tickets chan downstream.Ticket
@@ -398,6 +408,8 @@
 }
 func (l *deferredHandler) Left(slots.Ref) {}
 
+// Guards against a late answer that reaches the next request of the connection, or a client that has disconnected. A
+// ticket must be valid for exactly one request.
 func TestTicketAnswersOnlyItsRequest(t *testing.T) {
 	e := eventloop.New("", 256, 64<<10, 16<<20)
 	in := downstream.New(e, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
--- a/internal/gateway/ingress/streaming_test.go
+++ b/internal/gateway/ingress/streaming_test.go
@@ -19,14 +19,15 @@
 	"clovergap/internal/proxy/counters"
 )
 
-// randomBody is a body that no node holds, different at each place.
+// randomBody returns n pseudo-random bytes from a fixed seed, so that misplaced bytes are detected.
 func randomBody(n int) []byte {
 	b := make([]byte, n)
 	rand.NewChaCha8([32]byte{1}).Read(b)
 	return b
 }
 
-// listenRaw is a backend that hands over its connections as they are.
+// listenBackend starts a backend and returns a function that accepts its next connection. The test reads requests from the
+// connection and writes responses itself.
 func (f *fixture) listenBackend() (next func() (*bufio.Reader, *net.TCPConn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(f.t, err)
@@ -42,7 +43,7 @@
 	}
 }
 
-// chunkedBody cuts a body into chunks of uneven sizes.
+// encodeChunked returns a body in chunked transfer coding, with chunks of different sizes, chunk extensions and a trailer.
 func encodeChunked(body []byte) []byte {
 	var b bytes.Buffer
 	for i := 1; len(body) > 0; i++ {
@@ -54,15 +55,15 @@
 	return b.Bytes()
 }
 
-// yieldToOthers lets all that can go on do so for a while. Nothing rests on how far they come.
+// yieldProcessor lets other goroutines run for a while. No test result depends on the progress of these goroutines.
 func yieldProcessor() {
 	for range 5000 {
 		runtime.Gosched()
 	}
 }
 
-// Long bodies, by length and in chunks, come through whole both ways, one after the other on one
-// connection, though either side is slow; the memory that they take is bounded.
+// Guards against damaged or incomplete streamed bodies. Bodies with a Content-Length and chunked bodies must arrive complete
+// in both directions, one after the other on one client connection, although each side reads slowly and buffers are bounded.
 func TestStreamedBodiesArriveComplete(t *testing.T) {
 	st := newFixture(t)
 	next := st.listenBackend()
@@ -81,7 +82,7 @@
 		must.NoError(t, err)
 		must.Eq(t, "huka", req.Header.Get("X-Tenant"))
 		must.Eq(t, chunked, req.ContentLength < 0)
-		yieldProcessor() // all rings fill
+		yieldProcessor() // lets all ring buffers fill up
 		got, err := io.ReadAll(req.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
@@ -92,7 +93,7 @@
 		go func() {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\n%s%s\r\n%s", id, closeHeader, head, sent)
 			if closeHeader != "" {
-				conn.Close() // before its reader has begun
+				conn.Close() // before the client starts to read
 			}
 		}()
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: "POST"})
@@ -110,7 +111,8 @@
 	must.Eq(t, 1, st.counterValue(counters.ClientsOpened))
 }
 
-// A reader that stops holds up its own connection only, and what waits for it stays with the backend.
+// Guards against a client that stops reading and delays other clients or makes the node buffer the whole response. The
+// unread rest of the response must wait in the backend's socket.
 func TestSlowClientDelaysOnlyItsOwnConnection(t *testing.T) {
 	st := newFixture(t)
 	next := st.listenBackend()
@@ -135,7 +137,7 @@
 	}
 	select {
 	case <-writeDone:
-		t.Fatal("an answer was taken that nobody reads")
+		t.Fatal("the node accepted the whole response body from the backend although the client read nothing")
 	default:
 	}
 	resp, err := http.ReadResponse(slow.reader, nil)
@@ -146,7 +148,9 @@
 	must.NoError(t, <-writeDone)
 }
 
-// What is cut short never looks whole, and a body of which some has gone does not go again.
+// Guards against a truncated response that looks complete to the client, and against a partly forwarded request body that
+// is sent a second time. The failures come about when a backend or a client disconnects, or sends an invalid chunk, in the
+// middle of a body.
 func TestTruncatedBodiesNeverLookComplete(t *testing.T) {
 	st := newFixture(t)
 	next := st.listenBackend()
@@ -159,7 +163,7 @@
 		c := st.dial()
 		c.send(requestText("GET", "/pure/", "c", ""))
 		r, conn := next()
-		http.ReadRequest(r) // a close with unread bytes would reset the connection
+		http.ReadRequest(r) // closing a connection with unread bytes would reset it
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: c\r\nX-Backend-Seal: s\r\n%s\r\n%s", head, sent[:len(sent)-50])
 		conn.Close()
 		a, err := http.ReadResponse(c.reader, nil)
@@ -169,11 +173,11 @@
 	}
 	must.Eq(t, 2, st.counterValue(counters.Truncated))
 	for i, x := range []struct {
-		answer string // of the backend, before the body is whole
-		rest   string
-		line   string
+		answer string // response of the backend before the request body is complete
+		rest   string // bytes that the client sends after a complete chunk; used in the first case only
+		line   string // status line that the client gets
 	}{
-		{"", "zz\r\n", "400 Bad Request"}, // what is no chunk
+		{"", "zz\r\n", "400 Bad Request"}, // invalid chunk size
 		{"HTTP/1.1 503 Full\r\nX-Attempt-Id: d\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", "", "503 Service Unavailable"},
 		{"no answer\r\n", "", "502 Bad Gateway"},
 		{"HTTP/1.1 500 Oops\r\nX-Attempt-Id: d\r\nContent-Length: 0\r\n\r\n", "", "502 Bad Gateway"},
@@ -188,7 +192,7 @@
 		io.ReadFull(q.Body, make([]byte, 1<<18))
 		io.WriteString(conn, x.answer)
 		if i == 0 {
-			// the present chunk is filled up first, so that what follows stands where a chunk's mark should
+			// The data completes the present chunk, so that the bytes of x.rest are parsed as the next chunk size.
 			c.send(strings.Repeat("x", 70000) + "\r\n" + x.rest)
 		}
 		c.expectResponse("HTTP/1.1 "+x.line, "Connection: close")
@@ -200,13 +204,13 @@
 	q, err := http.ReadRequest(r)
 	must.NoError(t, err)
 	io.ReadFull(q.Body, make([]byte, 400000))
-	c.Close() // its client leaves
+	c.Close() // the client disconnects in the middle of the body
 	_, err = io.ReadAll(q.Body)
 	must.Error(t, err)
 }
 
-// Once an answer has begun, only its own end or the end of the time ends it: it is not called off for a
-// better one, and what is given up is cut.
+// Guards against a streamed response that is cancelled after its head was sent. A Cancel decision must not stop the
+// response. A Fail decision, as after the deadline, must close both connections, so that the response looks truncated.
 func TestStartedResponseIsNotCancelled(t *testing.T) {
 	st := newFixture(t)
 	next := st.listenBackend()
@@ -247,15 +251,15 @@
 	must.Eq(t, 1, st.counterValue(counters.Truncated))
 }
 
-// A backend that answers before it has read a long body, keeps the connection and reads on gets nothing there but bytes of that body: the
-// connection carries no other request. Guards against a request that is taken for the rest of another one's body.
+// Guards against a request that a backend reads as the rest of another request's body. The failure comes about when a
+// backend answers before it has read a long body, and keeps the connection open. The connection must carry no other request.
 func TestEarlyResponseReservesConnectionForBody(t *testing.T) {
 	st := newFixture(t)
 	next := st.listenBackend()
 	body := randomBody(3 << 20)
 	c := st.dial()
 	c.send(requestText("POST", "/once/", "early", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
-	go c.Write(body[:len(body)/3]) // the rest of it is still to come
+	go c.Write(body[:len(body)/3]) // the rest of the body is never sent
 	r, conn := next()
 	_, err := http.ReadRequest(r)
 	must.NoError(t, err)
@@ -263,13 +267,13 @@
 	must.Eq(t, "soon", c.expectResponse("HTTP/1.1 200 Fine"))
 	other := st.dial()
 	other.send(requestText("GET", "/pure/", "other", ""))
-	secondReader, secondConn := next() // on a connection of its own
+	secondReader, secondConn := next() // the second request uses a new connection
 	q, err := http.ReadRequest(secondReader)
 	must.NoError(t, err)
 	must.Eq(t, "other", q.Header.Get("X-Attempt-Id"))
 	io.WriteString(secondConn, okResponseText("other", "Connection: close\r\n", "quick"))
 	must.Eq(t, "quick", other.expectResponse("HTTP/1.1 200 Fine"))
-	rest, _ := io.ReadAll(r) // to the connection's end, be it a reset
+	rest, _ := io.ReadAll(r) // reads until the connection is closed or reset
 	must.True(t, bytes.HasPrefix(body, rest))
 	must.Less(t, len(body), len(rest))
 }
