--- a/internal/gateway/ingress/outcome.go
+++ b/internal/gateway/ingress/outcome.go
@@ -9,38 +9,39 @@
 	"clovergap/internal/proxy/slots"
 )
 
-// Complete sends a client the response of a backend, which is complete.
+// Complete sends the complete response of a backend to the client.
 func (h *Handler) Complete(who, txn slots.Ref, o gate.Outcome) {
 	if c := h.server.ClientToAnswer(who, txn); c != nil {
 		head, message := c.Request()
-		toHEAD := string(head.Method(message)) == "HEAD"
+		isHEAD := string(head.Method(message)) == "HEAD"
 		c.Answer(func(b []byte, last bool) []byte {
-			return append(appendHead(b, o.Answer, o.Bytes, toHEAD, last), o.Body...)
+			return append(appendHead(b, o.Answer, o.Bytes, isHEAD, last), o.Body...)
 		})
 	}
 }
 
-// Reject answers that a request has not run and never will: 429 where the customer's quota is used up, else 503. after
-// is the Retry-After; 0: none.
-func (h *Handler) Reject(who, txn slots.Ref, after time.Duration, why control.Reason) {
+// Reject answers a request that has not run and never will. The status is 429 if the customer's quota is exhausted, else
+// 503. retryAfter is the value of the Retry-After header; 0 means no header.
+func (h *Handler) Reject(who, txn slots.Ref, retryAfter time.Duration, reason control.Reason) {
 	status := 503
-	if why == control.ReasonNoUnits {
+	if reason == control.ReasonNoUnits {
 		status = 429
 	}
-	h.finish(who, txn, status, after)
+	h.answerStatus(who, txn, status, retryAfter)
 }
 
-// Fail answers that a request failed and may have run: 504 where its time is over, else 502.
-func (h *Handler) Fail(who, txn slots.Ref, why control.Reason) {
+// Fail answers a request that failed and may have run. The status is 504 if the deadline has passed, else 502.
+func (h *Handler) Fail(who, txn slots.Ref, reason control.Reason) {
 	status := 502
-	if c := h.server.ClientOf(who, txn); why == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
+	if c := h.server.ClientOf(who, txn); reason == control.ReasonNoTime || c != nil && stateOf(c).expiry <= h.clock.Now() {
 		status = 504
 	}
-	h.finish(who, txn, status, 0)
+	h.answerStatus(who, txn, status, 0)
 }
 
-// finish answers without a body. Where the request's own body was wrong, that is the client's fault and goes first.
-func (h *Handler) finish(who, txn slots.Ref, status int, after time.Duration) {
+// answerStatus sends a response without a body. If the framing of the request's body was invalid, the response reports
+// that error instead of status, because the client caused the failure.
+func (h *Handler) answerStatus(who, txn slots.Ref, status int, retryAfter time.Duration) {
 	c := h.server.ClientToAnswer(who, txn)
 	switch state := stateOf(c); {
 	case c == nil:
@@ -48,6 +49,8 @@
 		c.RejectUnreadable(state.bodyErr)
 	default:
 		id := []byte(h.server.ID(who, txn))
-		c.Answer(func(b []byte, last bool) []byte { return answer.StatusOnly(b, status, "X-Attempt-Id", id, after, last) })
+		c.Answer(func(b []byte, last bool) []byte {
+			return answer.StatusOnly(b, status, "X-Attempt-Id", id, retryAfter, last)
+		})
 	}
 }
