--- a/internal/gateway/coordination/call.go
+++ b/internal/gateway/coordination/call.go
@@ -23,7 +23,9 @@
 	LockList    Operation = 9 // Locks.List: returns the held locks of a group, for operators
 )
 
-// operationNames holds the names of the operations in the counters of Groups.List. Operators' tools match these names.
+// operationNames holds the names of the operations in the counters of Groups.List. Operators' tools match these names. The names differ
+// from those of the constants: LockAcquire, LockRenew and LockRelease are called begin, heartbeat and finish outside of this program, and
+// KeyPut is called replace.
 var operationNames = [...]string{
 	0:           "?",
 	LockAcquire: "lock begin",
@@ -47,8 +49,10 @@
 
 // Call is one call of an application. Only the fields that the call's operation uses are sent and stored.
 type Call struct {
-	Operation        Operation
-	Name             string        // name of the lock, counter or key, or of the key group with its dot
+	Operation Operation
+	// Name is the name of the lock, counter or key. For KeyWatch it is the name of a key group, which is the common beginning of its keys'
+	// names up to and including the first dot, such as "config." for the key "config.limit".
+	Name             string
 	Holder           string        // lock operations: who acquires, renews or releases the lock
 	FencingToken     uint64        // LockRenew and LockRelease: the token that was granted to the holder
 	TTL              time.Duration // LockAcquire and LockRenew: the duration of the lease
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -148,7 +148,9 @@
 	return response
 }
 
-// handleForwardResponse handles the response to a call that this node forwarded.
+// handleForwardResponse stores the clock offset of the node that answered an attempt, and passes the attempt's outcome to the call. If the
+// responding node does not lead the group and names another leader, the call's next attempt goes to that leader. A response to a request
+// of an earlier process of this node only updates the clock offset.
 func (s *Service) handleForwardResponse(from string, r *ForwardResponse) {
 	s.updateRemoteClock(from, r)
 	if r.OriginIncarnation != s.config.Incarnation { // the request was sent by an earlier process of this node
@@ -162,8 +164,7 @@
 }
 
 // updateRemoteClock stores the largest offset of a node's clock that was observed. A response takes time to arrive, so each observed offset
-// is at most the true offset. A deadline that is computed from an observed offset is therefore never too late, but may be
-// too early.
+// is at most the true offset. A deadline that is computed from an observed offset is therefore never too late, but may be too early.
 func (s *Service) updateRemoteClock(from string, r *ForwardResponse) {
 	offset := r.ResponderClock - s.host.Now()
 	known, ok := s.remoteClocks[from]
@@ -237,7 +238,7 @@
 }
 
 // abandonCall ends a call that has no answer. The status is StatusAmbiguous if the call changes state and one of its attempts may have taken
-// effect or may still take effect. Otherwise the status is StatusUnavailable.
+// effect or may still take effect. In all other cases the status is StatusUnavailable.
 func (s *Service) abandonCall(p *pendingCall) {
 	status := StatusUnavailable
 	if p.openAttempts != 0 && !p.call.isReadOnly() && !s.config.TestingKnobs.ReportAmbiguousAsUnavailable {
@@ -246,6 +247,7 @@
 	s.completeCall(p, Result{Status: status})
 }
 
+// completeCall removes a call from the pending calls and passes the result to the caller.
 func (s *Service) completeCall(p *pendingCall, result Result) {
 	delete(s.pending, p.sequence)
 	p.done(result)
--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// currentLogTime returns the current log time of a group that this node leads.
+// currentLogTime returns the current log time of a group that this node leads. Log time is the clock of a group's log, by which leases
+// expire. It advances at the rate of the leader's clock and stops while the group has no leader (see the package comment).
 func (s *Service) currentLogTime(id groups.ID) time.Duration {
 	g := &s.hosted[id]
 	return max(g.state.logTime, g.anchorLogTime+s.host.Now()-g.anchoredAt)
@@ -89,7 +90,7 @@
 // replyFunc reports the outcome of one attempt of a call.
 type replyFunc func(AttemptOutcome, Result)
 
-// serveAsLeader serves a call if this node leads the call's group, and replies with AttemptRejected otherwise.
+// serveAsLeader serves a call if this node leads the call's group. If another node leads the group, it replies with AttemptRejected.
 func (s *Service) serveAsLeader(c *Call, id CallID, reply replyFunc) {
 	group := c.GroupID()
 	if int(group) >= len(s.hosted) || !s.isLeader(group) {
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -20,7 +20,7 @@
 // acquire that arrives late must not take the lock once more, because no caller would know that it holds the lock.
 type retiredCall struct {
 	callID    CallID
-	retiredAt time.Duration // log time at which the acquire was retired
+	retiredAt time.Duration // log time at which the lock was released or acquired again after the acquire, or its expired lease was removed
 }
 
 // isLockFree reports whether a lock has no holder at the log time of the newest entry. l is nil for a lock without state.
@@ -54,8 +54,8 @@
 	return Result{FencingToken: s.lastFencingToken}
 }
 
-// reacquireLock extends the lease of a held lock if the call comes from its holder, and returns StatusLockHeld otherwise. The holder keeps its
-// fencing token.
+// reacquireLock extends the lease of a held lock if the call comes from the lock's holder. The holder keeps its fencing token. For any other
+// caller, reacquireLock returns StatusLockHeld.
 func (s *State) reacquireLock(l *lockState, e *entry) Result {
 	if l.holder != e.call.Holder {
 		return Result{Status: StatusLockHeld}
--- a/internal/gateway/rollout/evidence.go
+++ b/internal/gateway/rollout/evidence.go
@@ -37,8 +37,9 @@
 // function totalWealth multiplies the wealth by the actual stakes.
 type logWealth [testCount][ratioCount]float64
 
-// evidence is the evidence against the canary for each window, in nats (units of the natural logarithm). perBackend is the part that comes
-// from the failures of each backend.
+// evidence is the evidence against the canary for each window. The evidence of a bet is ln(wealth/stake), the natural logarithm of the factor
+// by which the bet's wealth has changed. Its unit is the nat: a value of 1 means that the wealth grew by the factor e. perBackend is the
+// part of the evidence that comes from the failures of each backend.
 type evidence struct {
 	total      [windowCount]logWealth
 	perBackend map[uint64]*[windowCount]logWealth
@@ -136,7 +137,8 @@
 	return c
 }
 
-// evidenceUnitsPerNat is the resolution of encoded evidence. Values are rounded in the direction that makes a rollback less likely.
+// evidenceUnitsPerNat is the resolution of encoded evidence. Evidence of x nats (see the type evidence) is sent as the integer 64*x. The
+// total is rounded down and the part of each backend is rounded up. Both directions make a rollback less likely.
 const evidenceUnitsPerNat = 64
 
 // encode returns the binary form of the evidence. The binary form has one record for each test and window with a value other than 0. A
--- a/internal/gateway/rollout/outcome.go
+++ b/internal/gateway/rollout/outcome.go
@@ -15,7 +15,7 @@
 	Write
 )
 
-// Cause is the result of a request's first attempt.
+// Cause says why a request's first attempt failed. The zero value Success means that the attempt did not fail.
 type Cause uint8
 
 // The causes, with their names in FailureCriteria. A 4xx response is a regular response of the service and counts as Success.
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -248,18 +248,18 @@
 	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
-		share int
-		rate  float64
+		share int     // canary's share of the users, in basis points
+		rate  float64 // requests per second at all nodes together
 		fault fault
-		most  time.Duration // documented limit of the median time to the rollback
+		most  time.Duration // highest allowed median of the time from the start of the fault to the rollback, as documented
 	}{
-		{"1 in 5 writes fails", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
-		{"1 in 5 writes fails", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
-		{"1 in 5 writes fails", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
-		{"1 in 5 writes fails", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
-		{"1 in 5 writes fails", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
-		{"all requests fail", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
-		{"all requests fail", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
+		{"1 in 5 writes fails, 1 %, 350/s", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
+		{"1 in 5 writes fails, 10 %, 350/s", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
+		{"1 in 5 writes fails, 50 %, 350/s", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
+		{"1 in 5 writes fails, 90 %, 350/s", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
+		{"1 in 5 writes fails, 10 %, 3500/s", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
+		{"all requests fail, 1 %", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
+		{"all requests fail, 50 %", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
 		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, allRequests), 90 * time.Second},
 		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, allRequests), 40 * time.Second},
 		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
--- a/internal/gateway/rollout/state.go
+++ b/internal/gateway/rollout/state.go
@@ -19,16 +19,15 @@
 	Finished   Phase = "finished"
 )
 
-// HistoryEntry records the effect of one log entry on a roll-out. Step is the step before the log entry, and Share is the share after it.
-// Counts holds the outcomes of that step that had been reported to the coordinator.
+// HistoryEntry records the effect of one log entry on a roll-out.
 type HistoryEntry struct {
 	Verb      Verb
-	Step      int
-	Share     int
+	Step      int // step that the roll-out had before the log entry was applied, counted from 1
+	Share     int // canary's share of the users after the log entry was applied, in basis points
 	Author    string
 	UnixMilli int64 // Unix time in milliseconds
 	Reason    string
-	Counts    Counts
+	Counts    Counts // outcomes in Step that the nodes had reported to the coordinator before it proposed the log entry
 }
 
 // Run is the state and the history of a roll-out.
--- a/internal/gateway/rollout/state_test.go
+++ b/internal/gateway/rollout/state_test.go
@@ -226,7 +226,7 @@
 }
 
 // Guards against a node that sends users to the canary because it does not know of a rollback. A node that was never connected uses a share
-// of 0.// A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
+// of 0. A disconnected node keeps its share and may only roll back locally. Neither a reconnection nor the replicated state undoes a local
 // rollback.
 func TestPartitionedNodeOnlyLowersShare(t *testing.T) {
 	s := NewState()
@@ -259,6 +259,7 @@
 	a, ok := node.Next()
 	rollback, is := a.(LocalRollback)
 	must.True(t, ok && is)
+	// The reason starts with the counts of the failing kind of request, such as "writes: new 9 of 90 failed", where new is the canary.
 	must.StrContains(t, rollback.Reason, "writes: new")
 	node.SetConnected(true)
 	node.ApplyState(s) // the replicated share does not undo the local rollback
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -11,7 +11,7 @@
 
 // Environment provides the clock that callers run on and the system that they call.
 type Environment interface {
-	// Now returns the current time of the clock.
+	// Now returns the time that has passed on the clock of all callers since a fixed point that the environment chooses.
 	Now() time.Duration
 	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -74,7 +74,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkNumbers checks that the numbers of each counter increase (rule ORDER).
+// checkNumbers checks that the numbers of each counter increase. This check is part of the operators' rule ORDER (see the package comment).
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedKeys(byName) {
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -134,7 +134,7 @@
 			b.addPut("v2", 0, resultAt(2))
 			b.addWatch(1, watchResult(1))
 		}},
-		"resume fails within the retention": {RuleLost, func(b *historyBuilder) {
+		"watch cannot resume from a revision within the history retention": {RuleLost, func(b *historyBuilder) {
 			b.addPut("v1", 0, resultAt(1))
 			b.addWatch(0, watchResult(1))
 			b.addWatch(1, coordination.Result{Status: coordination.StatusCompacted})
--- a/internal/lab/callhistory/linearizable.go
+++ b/internal/lab/callhistory/linearizable.go
@@ -13,15 +13,17 @@
 	operation   coordination.Operation
 	status      coordination.Status
 	conditional bool
-	expected    uint64 // revision that a conditional put expects
-	result      uint64 // revision or number in the answer
-	value       string // value that the call put or read
+	expected    uint64 // revision that a conditional put expects the key to have
+	// result is the number that a counter returned, the revision that a successful put created, or the key's current revision in the answer
+	// to a read or to a put that ended with a conflict. The result is 0 if the key has no value.
+	result uint64
+	value  string // value that the call put or read
 }
 
 // modelState is the state of a key or a counter.
 type modelState struct {
 	value string
-	last  uint64 // the last revision or number, or 0 if there is none yet
+	last  uint64 // the newest number that the counter returned or the revision of the key's newest put, or 0 before the first call or put
 }
 
 // callModel is the sequential model of a key or a counter, which processes one call at a time. The keys of a key group share its sequence of
--- a/internal/lab/callhistory/locks.go
+++ b/internal/lab/callhistory/locks.go
@@ -14,7 +14,8 @@
 	start, end time.Duration
 }
 
-// checkLocks checks that each lock has at most one holder at a time and that its fencing tokens increase (rule ONE).
+// checkLocks checks that each lock has at most one holder at a time and that its fencing tokens increase from
+// holder to holder. The operators call this rule ONE (see the package comment).
 func (c *checker) checkLocks() {
 	byName := map[string][]*Record{}
 	for _, o := range []coordination.Operation{coordination.LockAcquire, coordination.LockRenew, coordination.LockRelease} {
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -78,8 +78,8 @@
 
 // callWithRetry sends a request to one node after the other until a node gives a definite response or the context ends. A node may
 // receive the request more than once, so the call must be safe to repeat. callWithRetry decodes the body of a successful response into
-// the value that into points to, unless into is nil. If the context ends, callWithRetry returns ErrUnclear when an attempt may have taken
-// effect, and ErrUnavailable otherwise.
+// the value that into points to, unless into is nil. If the context ends and an attempt may have taken effect,
+// callWithRetry returns ErrUnclear. If the context ends and no attempt can have taken effect, it returns ErrUnavailable.
 func (c *Client) callWithRetry(ctx context.Context, r request, into any) error {
 	var body []byte
 	if r.method != http.MethodGet {
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Next returns a number from the counter with the given name. The number is higher than all numbers that the counter returned before. The
-// sequence of numbers may have gaps.
+// Next returns the next number of the counter with the given name. Next creates the counter if it does not exist. The number is higher than
+// all numbers that the counter returned before. The sequence of numbers may have gaps.
 func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
 	var next struct {
 		Value uint64 `json:"value"`
--- a/pkg/coordination/session.go
+++ b/pkg/coordination/session.go
@@ -55,9 +55,9 @@
 	FencingToken uint64 `json:"fence"`
 }
 
-// Lock acquires a lock if it is free, and returns ErrHeld otherwise. ttl is the duration of the lease. The client measures the lease from
-// the moment before it sends the call. If the grant arrives too late for this lease, Lock returns ErrUnclear. The session also ends when ctx
-// ends. Finish ends the session at once.
+// Lock acquires a lock if it is free. If another holder has the lock, Lock returns ErrHeld. ttl is the duration of the lease. The client
+// measures the lease from the moment before it sends the call. If the grant arrives too late for this lease, Lock returns ErrUnclear. The
+// session also ends when ctx ends. Finish ends the session at once.
 func (c *Client) Lock(ctx context.Context, name, holder string, ttl time.Duration) (*Session, error) {
 	expiresAt := time.Now().Add(ttl)
 	attempts, cancel := context.WithDeadline(ctx, expiresAt)
