--- a/internal/gateway/logstore/size_test.go
+++ b/internal/gateway/logstore/size_test.go
@@ -14,7 +14,7 @@
 
 // fileSizeAfterStates writes a sequence of states of about stateBytes each and returns the size of the file. Each state is written as one
 // entry and replaces the previous state. When the entries have at least compactBytes, a snapshot of the newest state replaces the entries.
-func fileSizeAfterStates(t *testing.T, stateBytes, times, compactBytes int) int64 {
+func fileSizeAfterStates(t *testing.T, stateBytes, writeCount, compactBytes int) int64 {
 	dir := t.TempDir()
 	store, state, err := Open(dir)
 	must.NoError(t, err)
@@ -23,7 +23,7 @@
 	must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: 1, FirstIndex: 2,
 		Snapshot: &replication.Snapshot{Index: 1, Term: 1, Members: members}}}))
 	entryBytes := 0
-	for i := range times {
+	for i := range writeCount {
 		index := uint64(i + 2)
 		data := make([]byte, stateBytes-stateBytes/10+rng.IntN(stateBytes/5))
 		must.NoError(t, writeConfiguration(store, []replication.Write{{ClusterID: 1, Term: 1, Commit: index, FirstIndex: index,
--- a/internal/gateway/rollout/coordinator.go
+++ b/internal/gateway/rollout/coordinator.go
@@ -173,7 +173,7 @@
 			a.changed = false
 			c.evaluateReports(a)
 		}
-		c.maybeAdvance(a)
+		c.proposeNextStepIfReady(a)
 	}
 }
 
@@ -221,8 +221,8 @@
 	}
 }
 
-// maybeAdvance proposes the next step if the spec allows the coordinator to advance and the conditions of the current step are met.
-func (c *Coordinator) maybeAdvance(a *activeRollout) {
+// proposeNextStepIfReady proposes the next step if the spec allows the coordinator to advance and the conditions of the current step are met.
+func (c *Coordinator) proposeNextStepIfReady(a *activeRollout) {
 	step := a.Spec.Steps[a.Step-1]
 	if a.Spec.Advance != AdvanceByTime || a.Paused || a.Step == len(a.Spec.Steps) || a.suspicion >= 1 || a.unconfigured ||
 		c.now-a.stepStart < step.minTime() {
@@ -236,12 +236,12 @@
 
 // propose queues a proposal for the replicated log, at most one per proposalRetryInterval. propose marks the roll-out as changed, so that
 // a later Tick evaluates the reports again and repeats a proposal that the log has not delivered.
-func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, why string) {
+func (c *Coordinator) propose(a *activeRollout, verb Verb, step int, reason string) {
 	a.changed = true
 	if c.now-a.proposedAt < proposalRetryInterval {
 		return
 	}
 	a.proposedAt = c.now
-	c.pushAction(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: why, Number: a.Number, Step: step,
+	c.pushAction(Propose{Entry{Verb: verb, Service: a.Spec.Service, Author: coordinatorAuthor, Reason: reason, Number: a.Number, Step: step,
 		FencingToken: c.fencingToken, Counts: a.totalCounts()}})
 }
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -232,7 +232,7 @@
 	t.Parallel()
 	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
 	type only = func(now time.Duration, e *Outcome, zone, tenant int) bool
-	failsWhen := func(fails, slower float64, only only) fault {
+	newCanaryFault := func(fails, slower float64, only only) fault {
 		return func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64) {
 			if e.Side == Canary && only(now, e, zone, tenant) {
 				return fails, slower
@@ -240,12 +240,12 @@
 			return 0, 1
 		}
 	}
-	oneZone := func(_ time.Duration, _ *Outcome, zone, _ int) bool { return zone == 1 }
-	oneTenant := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
-	warmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
-	afterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
-	allRequests := func(time.Duration, *Outcome, int, int) bool { return true }
-	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
+	isInZoneOne := func(_ time.Duration, _ *Outcome, zone, _ int) bool { return zone == 1 }
+	isOfTenantThree := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
+	isWarmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
+	isAfterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
+	isAnyRequest := func(time.Duration, *Outcome, int, int) bool { return true }
+	isWrite := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
 		share int     // canary's share of the users, in basis points
@@ -253,21 +253,21 @@
 		fault fault
 		most  time.Duration // highest allowed median of the time from the start of the fault to the rollback, as documented
 	}{
-		{"1 in 5 writes fails, 1 %, 350/s", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
-		{"1 in 5 writes fails, 10 %, 350/s", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
-		{"1 in 5 writes fails, 50 %, 350/s", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
-		{"1 in 5 writes fails, 90 %, 350/s", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
-		{"1 in 5 writes fails, 10 %, 3500/s", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
-		{"all requests fail, 1 %", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
-		{"all requests fail, 50 %", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
-		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, allRequests), 90 * time.Second},
-		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, allRequests), 40 * time.Second},
-		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
-		{"1 zone of 3: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
-		{"latency doubled", 1000, 350, failsWhen(0, 2, allRequests), 45 * time.Second},
-		{"latency tripled", 1000, 350, failsWhen(0, 3, allRequests), 15 * time.Second},
-		{"during warm-up: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
-		{"after 10 minutes: 1 in 5 fails", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
+		{"1 in 5 writes fails, 1 %, 350/s", 100, 350, newCanaryFault(.2, 1, isWrite), 80 * time.Second},
+		{"1 in 5 writes fails, 10 %, 350/s", 1000, 350, newCanaryFault(.2, 1, isWrite), 8 * time.Second},
+		{"1 in 5 writes fails, 50 %, 350/s", 5000, 350, newCanaryFault(.2, 1, isWrite), 5 * time.Second},
+		{"1 in 5 writes fails, 90 %, 350/s", 9000, 350, newCanaryFault(.2, 1, isWrite), 15 * time.Second},
+		{"1 in 5 writes fails, 10 %, 3500/s", 1000, 3500, newCanaryFault(.2, 1, isWrite), 3 * time.Second},
+		{"all requests fail, 1 %", 100, 350, newCanaryFault(1, 1, isAnyRequest), 6 * time.Second},
+		{"all requests fail, 50 %", 5000, 350, newCanaryFault(1, 1, isAnyRequest), 3 * time.Second},
+		{"1 in 200 requests fails", 2500, 3500, newCanaryFault(.005, 1, isAnyRequest), 90 * time.Second},
+		{"1 in 50 requests fails", 2500, 350, newCanaryFault(.02, 1, isAnyRequest), 40 * time.Second},
+		{"1 tenant of 8: 1 in 2 fails", 1000, 350, newCanaryFault(.5, 1, isOfTenantThree), 25 * time.Second},
+		{"1 zone of 3: 1 in 5 fails", 1000, 350, newCanaryFault(.2, 1, isInZoneOne), 15 * time.Second},
+		{"latency doubled", 1000, 350, newCanaryFault(0, 2, isAnyRequest), 45 * time.Second},
+		{"latency tripled", 1000, 350, newCanaryFault(0, 3, isAnyRequest), 15 * time.Second},
+		{"during warm-up: 1 in 5 fails", 1000, 350, newCanaryFault(.2, 1, isWarmingUp), 8 * time.Second},
+		{"after 10 minutes: 1 in 5 fails", 1000, 60, newCanaryFault(.2, 1, isAfterTenMinutes), 60 * time.Second},
 	} {
 		const runs = 5
 		var took []time.Duration
--- a/internal/lab/callers/keys.go
+++ b/internal/lab/callers/keys.go
@@ -33,16 +33,16 @@
 		c.lastValue++
 		call := coordination.Call{Operation: coordination.KeyPut, Name: key, Value: fmt.Sprintf("v%d", c.lastValue),
 			Conditional: conditional, ExpectedRevision: r.Result.Revision}
-		e.put(call, 1+c.rng.IntN(4))
+		e.sendPut(call, 1+c.rng.IntN(4))
 	})
 }
 
-// put sends a put with at most the given number of retries, and then starts the next read.
-func (e *editor) put(call coordination.Call, retries int) {
+// sendPut sends a put, retries it at most the given number of times, and then starts the next read.
+func (e *editor) sendPut(call coordination.Call, retries int) {
 	c := e.callers
 	c.env.Call(e.name, call, func(r *callhistory.Record) {
 		if shouldRetry(r) && retries > 0 {
-			c.env.After(c.randomDuration(0, 600*time.Millisecond), func() { e.put(call, retries-1) })
+			c.env.After(c.randomDuration(0, 600*time.Millisecond), func() { e.sendPut(call, retries-1) })
 			return
 		}
 		c.env.After(c.randomDuration(0, 60*time.Millisecond), e.readAndPut)
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -51,7 +51,7 @@
 type checker struct {
 	config        Config
 	recordsByName map[coordination.Operation]map[string][]*Record
-	puts          map[string]*put // keyed by putKey and filled by collectPuts
+	puts          map[string]*put // keyed by putIdentifier and filled by collectPuts
 	violations    []Violation
 }
 
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -49,8 +49,8 @@
 	return h.addRecord(coordination.Call{Operation: coordination.KeyWatch, Name: "g.", AfterRevision: after}, result)
 }
 
-// resultAt returns a successful result with the given revision.
-func resultAt(r uint64) coordination.Result { return coordination.Result{Revision: r} }
+// resultWithRevision returns a successful result with the given revision.
+func resultWithRevision(r uint64) coordination.Result { return coordination.Result{Revision: r} }
 
 // watchResult returns the result of a watch that returned the given revision and events with the given revisions.
 func watchResult(revision uint64, revisions ...uint64) (result coordination.Result) {
@@ -75,9 +75,9 @@
 			b.addAcquire("b", 2, 10)
 			b.addNumber(1)
 			b.addNumber(3)
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 1, resultAt(2))
-			b.addPut("v1", 0, resultAt(1)) // a repetition of the first put
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 1, resultWithRevision(2))
+			b.addPut("v1", 0, resultWithRevision(1)) // a repetition of the first put
 			b.addPut("v3", 1, coordination.Result{Status: coordination.StatusConflict, Revision: 2})
 			b.addRead("v2", 2)
 			b.addWatch(1, watchResult(2, 2))
@@ -95,47 +95,47 @@
 		}},
 		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(4) }},
 		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(3) }},
-		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.addPut("v2", 0, resultAt(2)); b.addPut("v1", 0, resultAt(1)) }},
+		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.addPut("v2", 0, resultWithRevision(2)); b.addPut("v1", 0, resultWithRevision(1)) }},
 		"conditional put after a later revision": {RuleOrder, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2))
-			b.addPut("v3", 1, resultAt(3))
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2))
+			b.addPut("v3", 1, resultWithRevision(3))
 		}},
 		"conditional first put of an existing key": {RuleOrder, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2)).Call.Conditional = true
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2)).Call.Conditional = true
 		}},
 		"watch skips a put": {RuleOrder, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2))
-			b.addPut("v3", 0, resultAt(3))
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2))
+			b.addPut("v3", 0, resultWithRevision(3))
 			b.addWatch(1, watchResult(3, 3))
 		}},
 		"watch events out of order": {RuleOrder, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2))
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2))
 			b.addWatch(0, watchResult(2, 2, 1))
 		}},
 		"stale read": {RuleStale, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2))
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2))
 			b.addRead("v1", 1)
 		}},
 		"value was never put":               {RuleMixed, func(b *historyBuilder) { b.addRead("x", 1) }},
-		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.addPut("v1", 0, resultAt(1)); b.addRead("v1", 2) }},
-		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.addPut("v2", 0, resultAt(2)); b.addPut("v3", 7, conflict) }},
+		"value with two revisions":          {RuleMixed, func(b *historyBuilder) { b.addPut("v1", 0, resultWithRevision(1)); b.addRead("v1", 2) }},
+		"conflict with an unknown revision": {RuleMixed, func(b *historyBuilder) { b.addPut("v2", 0, resultWithRevision(2)); b.addPut("v3", 7, conflict) }},
 		"rejected put observed": {RuleRefused, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v1", 0, resultWithRevision(1))
 			b.addPut("v2", 3, conflict)
 			b.addWatch(1, watchResult(2, 2))
 		}},
 		"watch misses a put": {RuleLost, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
-			b.addPut("v2", 0, resultAt(2))
+			b.addPut("v1", 0, resultWithRevision(1))
+			b.addPut("v2", 0, resultWithRevision(2))
 			b.addWatch(1, watchResult(1))
 		}},
 		"watch cannot resume from a revision within the history retention": {RuleLost, func(b *historyBuilder) {
-			b.addPut("v1", 0, resultAt(1))
+			b.addPut("v1", 0, resultWithRevision(1))
 			b.addWatch(0, watchResult(1))
 			b.addWatch(1, coordination.Result{Status: coordination.StatusCompacted})
 		}},
@@ -172,7 +172,7 @@
 				r = b.addPut(fmt.Sprint("x", i), last+1, coordination.Result{Status: coordination.StatusConflict, Revision: last})
 			default:
 				last, value = last+1, fmt.Sprint("v", i)
-				r = b.addPut(value, 0, resultAt(last))
+				r = b.addPut(value, 0, resultWithRevision(last))
 			}
 			r.Sent -= time.Duration(rapid.IntRange(0, 5).Draw(t, "early")) // makes the call overlap earlier ones
 			r.Ended += time.Duration(rapid.IntRange(0, 5).Draw(t, "late"))
@@ -182,7 +182,7 @@
 		must.SliceEmpty(t, broken)
 		must.SliceEmpty(t, undecided)
 		b.now += 20
-		b.addPut("w1", 0, resultAt(last+1))
+		b.addPut("w1", 0, resultWithRevision(last+1))
 		b.now += 20
 		b.addRead(value, last)
 		b.records[len(b.records)-1].Result.Status = coordination.StatusOK
--- a/internal/lab/callhistory/puts.go
+++ b/internal/lab/callhistory/puts.go
@@ -26,8 +26,8 @@
 	return 0
 }
 
-// putKey returns the string that identifies the put of a value to a key.
-func putKey(key, value string) string { return key + "\x00" + value }
+// putIdentifier returns the string that identifies the put of a value to a key.
+func putIdentifier(key, value string) string { return key + "\x00" + value }
 
 // collectPuts collects the puts of the history from their calls.
 func (c *checker) collectPuts() {
@@ -41,7 +41,7 @@
 
 // ensurePut returns the put that a call belongs to, and creates it if necessary.
 func (c *checker) ensurePut(r *Record) *put {
-	id := putKey(r.Call.Name, r.Call.Value)
+	id := putIdentifier(r.Call.Name, r.Call.Value)
 	if c.puts[id] == nil {
 		c.puts[id] = &put{key: r.Call.Name, value: r.Call.Value, firstSent: r, acknowledged: map[uint64]bool{}, observed: map[uint64]bool{},
 			expectedRevisions: map[uint64]bool{}}
@@ -95,7 +95,7 @@
 // recordObserved records that the call observer returned a value of a key with a revision. It checks the rules MIXED and REFUSED for this
 // result.
 func (c *checker) recordObserved(observer *Record, key, value string, revision uint64) {
-	p := c.puts[putKey(key, value)]
+	p := c.puts[putIdentifier(key, value)]
 	if p == nil {
 		c.addViolation(RuleMixed, "%v returned value %q of key %s, which no call put", observer, value, key)
 		return
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -90,7 +90,7 @@
 	}
 	ambiguous := false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		resp, err := c.attempt(ctx, r, body)
+		resp, err := c.sendAttempt(ctx, r, body)
 		if err == nil && resp.isDefinite() {
 			if err = resp.errorForStatus(); err != nil || into == nil {
 				return err
@@ -119,9 +119,9 @@
 	}
 }
 
-// attempt sends a request to the node that nextNode selects. If there is no definite response, attempt increments nextNode, so that all
-// callers of the client continue with the next node.
-func (c *Client) attempt(ctx context.Context, r request, body []byte) (result response, err error) {
+// sendAttempt sends a request to the node that nextNode selects. If there is no definite response, sendAttempt increments nextNode, so that
+// all callers of the client continue with the next node.
+func (c *Client) sendAttempt(ctx context.Context, r request, body []byte) (result response, err error) {
 	nodeIndex := c.nextNode.Load()
 	defer func() {
 		if err != nil || !result.isDefinite() {
--- a/pkg/coordination/keys.go
+++ b/pkg/coordination/keys.go
@@ -35,13 +35,13 @@
 // Put sets the value of a key regardless of its current revision, and returns the revision of the put. Do not put the same value to the same
 // key again, because the gateway would take the second put for a repetition of the first one.
 func (c *Client) Put(ctx context.Context, key, value string) (uint64, error) {
-	return c.put(ctx, key, putBody{Value: value})
+	return c.sendPut(ctx, key, putBody{Value: value})
 }
 
 // PutAt sets the value of a key if the key's current revision equals the given one, and returns the revision of the put. Revision 0 means
 // that the key was never put. If the revisions differ, the error is a *ConflictError. As with Put, each value may be put only once to a key.
 func (c *Client) PutAt(ctx context.Context, key, value string, revision uint64) (uint64, error) {
-	return c.put(ctx, key, putBody{Value: value, ExpectedRevision: &revision})
+	return c.sendPut(ctx, key, putBody{Value: value, ExpectedRevision: &revision})
 }
 
 // putBody is the JSON request body KeyReplace of api/control.yaml. ExpectedRevision is nil for an unconditional put.
@@ -50,8 +50,8 @@
 	ExpectedRevision *uint64 `json:"topic,omitempty"`
 }
 
-// put sends a conditional or unconditional put and returns its revision.
-func (c *Client) put(ctx context.Context, key string, body putBody) (uint64, error) {
+// sendPut sends a conditional or unconditional put and returns its revision.
+func (c *Client) sendPut(ctx context.Context, key string, body putBody) (uint64, error) {
 	var v Value
 	err := c.callWithRetry(ctx, request{method: http.MethodPost, path: "/api/Cells.Replace/" + url.PathEscape(key), body: body}, &v)
 	return v.Revision, err
