--- a/internal/gateway/coordination/cluster_test.go
+++ b/internal/gateway/coordination/cluster_test.go
@@ -86,17 +86,17 @@
 	cluster      *cluster
 	index        int
 	incarnation  uint64
-	startedAt    time.Duration
+	startedAt    time.Duration // time of the simulation at which the node's clock shows 0; up to an hour before the incarnation started
 	service      *coordination.Service
 	states       [groups.Count]groups.StateMachine
 	applied      [groups.Count]int
-	leaderTerm   [groups.Count]uint64 // term in which the node believes that it leads the group, or 0
-	leaderSince  [groups.Count]time.Duration
-	knownLeader  [groups.Count]string // address of the leader that the node knows, or empty
+	leaderTerm   [groups.Count]uint64        // term in which the node believes that it leads the group, or 0
+	leaderSince  [groups.Count]time.Duration // time of the node's clock at which the node became leader of the group
+	knownLeader  [groups.Count]string        // address of the leader that the node knows, or empty
 	proposals    [groups.Count][]*proposal
 	committed    map[*byte]*proposal // committed proposals that this node has not applied yet, by the first byte of their entry
 	suspended    bool
-	inputDelay   time.Duration
+	inputDelay   time.Duration            // result of InputDelay: the length of a suspension that has just ended, or 0
 	queuedTurns  []func()                 // turns that wait while the node is suspended
 	isolated     bool                     // the node has no quorum contact
 	delayedUntil map[string]time.Duration // earliest time at which messages arrive, by receiver
--- a/internal/gateway/coordination/days_test.go
+++ b/internal/gateway/coordination/days_test.go
@@ -56,7 +56,7 @@
 	}
 	to := nodeAddress(s.rng.IntN(len(s.nodes)))
 	switch s.rng.IntN(7) {
-	case 0:
+	case 0: // another node may become leader of the group
 		s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 	case 1: // a leader's process is suspended, and another node is elected meanwhile
 		n.suspend(s.randomDuration(100*ms, 4*time.Second))
@@ -67,20 +67,20 @@
 				}
 			}
 		})
-	case 2:
+	case 2: // a node's process restarts
 		n.restart()
 	case 3: // messages to a node are delayed
 		delayedTarget := []string{to, nodeAddress(s.logs[id].leader.index)}[s.rng.IntN(2)]
 		n = s.nodes[s.rng.IntN(len(s.nodes))]
 		n.delayedUntil[delayedTarget] = s.now + s.randomDuration(100*ms, 3*time.Second)
-	case 4:
+	case 4: // a link between two nodes breaks
 		n.brokenLinks[to] = true
 		n.service.PeerDisconnected(to)
 		s.scheduleEvent(s.randomDuration(50*ms, 2*time.Second), func() { n.brokenLinks[to] = false })
-	case 5:
+	case 5: // a node loses its contact with a majority
 		n.isolated = true
 		s.scheduleEvent(s.randomDuration(100*ms, 2*time.Second), func() { n.isolated = false })
-	case 6:
+	case 6: // every group elects a random node
 		for id := range groups.ID(groups.Count) {
 			s.electLeader(id, s.nodes[s.rng.IntN(len(s.nodes))])
 		}
--- a/internal/gateway/coordination/explore_test.go
+++ b/internal/gateway/coordination/explore_test.go
@@ -34,10 +34,10 @@
 	snapshot      string        // snapshot of the group's state
 	callers       [2]exploreCaller
 	calls         [exploreMaxCalls]exploreCall
-	callCount     int
-	timeSteps     int
-	duplicates    int
-	leaderChanges int
+	callCount     int // number of calls that the callers have sent
+	timeSteps     int // number of steps of exploreTimeStep by which time has advanced
+	duplicates    int // number of calls of which a second copy was sent
+	leaderChanges int // number of times that another node became leader
 }
 
 // exploreCaller is a caller that uses the lock.
--- a/internal/gateway/coordination/forward.go
+++ b/internal/gateway/coordination/forward.go
@@ -84,6 +84,8 @@
 	s.env.ScheduleAt(p.retryAt, p.sequence)
 }
 
+// newForwardRequest returns the message for one attempt of a call. The deadline of the call is converted to the clock of the target node. If
+// this node does not know the target's clock yet, the request has no deadline, and the target answers AttemptDeadlineInvalid.
 func (s *Service) newForwardRequest(p *pendingCall, attempt uint8) *ForwardRequest {
 	r := &ForwardRequest{OriginIncarnation: s.config.Incarnation, Sequence: p.sequence, Attempt: attempt, Call: p.call}
 	if clock, known := s.remoteClocks[p.target]; known {
@@ -93,9 +95,9 @@
 	return r
 }
 
-// chooseTarget returns the address of the node for the next attempt of a call. If this node leads the group, chooseTarget returns its own
-// address. Otherwise it returns the known leader, unless the known leader is the avoided target. Otherwise it returns the next leader
-// candidate, or an empty string if there is no candidate.
+// chooseTarget returns the address of the node for the next attempt of a call. The choice is this node if it leads the group. The second
+// choice is the leader that this node knows of, if that leader is not the avoided target. The third choice is the next leader candidate.
+// If there is no candidate, chooseTarget returns an empty string.
 func (s *Service) chooseTarget(p *pendingCall) string {
 	if s.isLeader(p.group) {
 		return s.config.Address
@@ -132,6 +134,7 @@
 	s.serveAsLeader(&r.Call, CallID{r.OriginIncarnation, r.Sequence}, reply)
 }
 
+// newForwardResponse returns the response to a forwarded request. A response with AttemptRejected names the leader that this node knows of.
 func (s *Service) newForwardResponse(r *ForwardRequest, outcome AttemptOutcome, result Result) *ForwardResponse {
 	response := &ForwardResponse{
 		OriginIncarnation:    r.OriginIncarnation,
@@ -208,8 +211,9 @@
 	s.env.ScheduleAt(p.retryAt, p.sequence)
 }
 
-// handleCallTimer ends a call at the call's deadline, or when this node has no quorum contact. handleCallTimer starts the next attempt of a
-// call whose target has not answered in time or no longer leads the group.
+// handleCallTimer ends a call at the call's deadline. It also ends a call if this node neither leads the call's group nor recently had
+// contact with a majority of the nodes. handleCallTimer starts the next attempt of a call if the target has not answered in time or no
+// longer leads the group.
 func (s *Service) handleCallTimer(p *pendingCall) {
 	now := s.host.Now()
 	switch {
--- a/internal/gateway/coordination/keys.go
+++ b/internal/gateway/coordination/keys.go
@@ -26,11 +26,13 @@
 	events            []storedEvent // the history in ascending order of revision
 }
 
+// keyValue is the current value of a key and the revision of the put that stored the value.
 type keyValue struct {
 	value    string
 	revision uint64
 }
 
+// storedEvent is an event in the history of a key group. compactHistory removes events by their age.
 type storedEvent struct {
 	Event
 	recordedAt time.Duration // log time of the put
@@ -149,6 +151,7 @@
 	g.events = slices.Delete(g.events, 0, dropped)
 }
 
+// readKey returns the value and the revision of a key, or StatusNotFound if no value was put to the key.
 func (s *State) readKey(name string) Result {
 	if g := s.keys.groups[groups.KeyGroup(name)]; g != nil {
 		if v, ok := g.keys[name]; ok {
--- a/internal/gateway/coordination/locks.go
+++ b/internal/gateway/coordination/locks.go
@@ -124,6 +124,7 @@
 	s.retiredCalls = append(slices.Delete(s.retiredCalls, 0, outdated), retiredCall{callID: id, retiredAt: s.logTime})
 }
 
+// isRetiredCall reports whether a call ID belongs to an acquire that was recorded by recordRetiredCall and is still stored.
 func (s *State) isRetiredCall(id CallID) bool {
 	return !s.knobs.AcceptRetiredCall && slices.ContainsFunc(s.retiredCalls, func(r retiredCall) bool { return r.callID == id })
 }
--- a/internal/gateway/coordination/watch_parked.go
+++ b/internal/gateway/coordination/watch_parked.go
@@ -13,8 +13,8 @@
 	sequence      uint32
 	group         groups.ID
 	keyGroup      string
-	afterRevision uint64
-	deadline      time.Duration
+	afterRevision uint64        // the watch waits for events with a higher revision
+	deadline      time.Duration // time of this node's clock at which the watch ends even without an event
 	reply         replyFunc
 }
 
@@ -50,6 +50,7 @@
 // hasEventsOrError reports whether the result has events or a status other than StatusOK. A watch with such a result ends.
 func (r *Result) hasEventsOrError() bool { return r.Status != StatusOK || len(r.Events) > 0 }
 
+// parkWatch stores a watch until a put in its key group or until the watch's deadline, for which it sets a timer.
 func (s *Service) parkWatch(w *parkedWatch) {
 	s.parkedWatches[w.sequence] = w
 	if s.parkedByKeyGroup[w.keyGroup] == nil {
@@ -59,6 +60,7 @@
 	s.env.ScheduleAt(w.deadline, w.sequence)
 }
 
+// unparkWatch removes a watch from the parked watches without answering the watch.
 func (s *Service) unparkWatch(w *parkedWatch) {
 	delete(s.parkedWatches, w.sequence)
 	delete(s.parkedByKeyGroup[w.keyGroup], w.sequence)
@@ -77,6 +79,7 @@
 	return list
 }
 
+// handleWatchTimer answers a parked watch if the watch's deadline has passed.
 func (s *Service) handleWatchTimer(w *parkedWatch) {
 	if s.host.Now() < w.deadline {
 		return
--- a/internal/gateway/coordination/watch_shared.go
+++ b/internal/gateway/coordination/watch_shared.go
@@ -17,8 +17,8 @@
 
 // watcher is one waiting caller.
 type watcher struct {
-	deadline      time.Duration
-	coveredByPoll bool // the current call to the leader started after this caller began to wait
+	deadline      time.Duration // time of this node's clock at which the caller's watch ends even without an event
+	coveredByPoll bool          // the current call to the leader started after this caller began to wait
 	done          func(Result)
 }
 
--- a/internal/gateway/rollout/entry.go
+++ b/internal/gateway/rollout/entry.go
@@ -34,7 +34,8 @@
 	Revision uint64
 	// Number identifies the roll-out that the entry applies to. Start does not use Number.
 	Number Number
-	// Step is the step to advance to in an Advance entry, and otherwise the step that the coordinator evaluated. Steps count from 1.
+	// Step is the step to advance to in an Advance entry. In any other entry it is the step that the coordinator evaluated. Steps count
+	// from 1.
 	Step int
 	// FencingToken is the coordinator's fencing token, 1 or more. It is 0 in an operator's entry.
 	FencingToken uint64
--- a/internal/gateway/rollout/node.go
+++ b/internal/gateway/rollout/node.go
@@ -26,12 +26,12 @@
 	salt uint64 // result of hashSalt for this roll-out
 	// rolledBack is true once this node has rolled back locally. rolledBack stays true for the rest of this incarnation.
 	rolledBack        bool
-	counter           *stepCounter // nil if the roll-out is not running
-	lap               int          // number of the current lap, counted from 1
-	seq               uint64       // sequence number of the last report
-	reportedAt        time.Duration
-	unreported        bool // counts have changed since the last report
-	reportImmediately bool // the next report does not wait for reportInterval
+	counter           *stepCounter  // nil if the roll-out is not running
+	lap               int           // number of the current lap, counted from 1
+	seq               uint64        // sequence number of the last report
+	reportedAt        time.Duration // time of the last report, or of the start of the step before the first report
+	unreported        bool          // counts have changed since the last report
+	reportImmediately bool          // the next report does not wait for reportInterval
 }
 
 // NewNode returns a node without roll-outs that is not connected to the core. Each start of a node needs a new incarnation.
@@ -76,7 +76,8 @@
 
 // SetConnected sets whether this node is connected to the core. Before its first connection, the node sends no user to a running canary,
 // because the canary may have been rolled back in the meantime. Evidence that the node gathers while disconnected is used only for a
-// local rollback. The node discards it when it reconnects. Otherwise a network partition would look like a failing version to the fleet.
+// local rollback. The node discards this evidence when it reconnects. If the node kept the evidence, a network partition would look like a
+// failing version to the coordinator.
 func (n *Node) SetConnected(connected bool) {
 	if connected && n.disconnected {
 		for _, local := range n.rollouts {
@@ -135,7 +136,8 @@
 	return 0
 }
 
-// IsCanaryExcluded reports whether this node must not send any attempt of a request to the canary.
+// IsCanaryExcluded reports whether this node must not send any attempt of a request to the canary. The reason is a rollback, or a
+// running roll-out at a node that has never been connected to the core.
 func (n *Node) IsCanaryExcluded(service string) bool {
 	local := n.rollouts[service]
 	return local != nil && (local.Phase == RolledBack || local.rolledBack || !n.everConnected && local.Phase == Running)
@@ -231,4 +233,5 @@
 		Zone: n.zone, RolledBack: local.rolledBack, CanaryBackends: len(c.canaryBackends), Counts: c.counts, Evidence: c.evidence.encode()}
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -28,13 +28,14 @@
 	backendLatencyFactor map[uint64]float64 // random factor, by backend number
 	// commonFactors returns the factors by which the failure rate and the latency of both sides are multiplied.
 	commonFactors func(now time.Duration) (fails, slower float64)
-	// fault returns the failure rate that is added for a request, and a factor on its latency.
+	// fault returns the probability that is added to a request's failure probability, and the factor by which the request's latency is
+	// multiplied.
 	fault func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
-	now   time.Duration
+	now   time.Duration // simulated time since the start of the roll-out
 
 	canaryRequests, canaryFailures int    // number of requests sent to the canary, and number of these requests that failed
 	lostReportsOfSeven             int    // average number of lost reports out of seven sent ones
-	evidenceBytes                  int    // size of the evidence in all reports
+	evidenceBytes                  int    // size of the encoded evidence in all reports that the nodes sent, in bytes
 	rollbackReason                 string // empty until the coordinator rolls back
 	localRollbacks                 int    // number of local rollbacks at all nodes
 }
@@ -171,7 +172,7 @@
 				mu.Lock()
 				if localRollbacks += sim.localRollbacks; sim.rollbackReason != "" {
 					falsePositives++
-					t.Logf("seed %d at %v: %s", seed, sim.now, sim.rollbackReason)
+					t.Logf("seed=%d: a good version was rolled back after %v: %s", seed, sim.now, sim.rollbackReason)
 				}
 				if sim.state.Run("libro").Step == 4 {
 					finished++
@@ -196,7 +197,7 @@
 	faultyBackend := uint64(1 + sim.rng.Intn(baselineBackendCount+canaryBackendCount))
 	unhealthyZone := sim.rng.Intn(3)
 	switch sim.rng.Intn(5) {
-	case 0:
+	case 0: // for 6 s, both sides have 15 times as many failures and 2.5 times the latency
 		sim.commonFactors = func(now time.Duration) (float64, float64) {
 			if isActive(now, 6*time.Second) {
 				return 15, 2.5
@@ -210,7 +211,7 @@
 			}
 			return 0, 1
 		}
-	case 2:
+	case 2: // one backend of either side is faulty all the time
 		sim.fault = func(_ time.Duration, e *Outcome, _, _ int) (float64, float64) {
 			if e.Backend == faultyBackend {
 				return 0.2, 2
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -87,7 +87,7 @@
 func (c *Callers) Stop() { c.stopping = true }
 
 // Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each
-// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
+// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls that got no such answer.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
--- a/internal/lab/callhistory/history.go
+++ b/internal/lab/callhistory/history.go
@@ -14,8 +14,8 @@
 type Record struct {
 	Caller string
 	Call   coordination.Call
-	Sent   time.Duration
-	Ended  time.Duration // Never if the call got no definite answer
+	Sent   time.Duration // time at which the caller sent the call
+	Ended  time.Duration // time at which the caller got the answer; Never if the call got no definite answer
 	Result coordination.Result
 }
 
@@ -32,6 +32,6 @@
 
 // String returns a description of the call and its answer for the text of a violation.
 func (r *Record) String() string {
-	return fmt.Sprintf("caller %s: %v of %s, sent at %v, ended at %v: status %v, fence %d, number %d, revision %d", r.Caller, r.Call.Operation,
+	return fmt.Sprintf("caller %s: %v of %s, sent at %v, ended at %v: status %v, fencing token %d, number %d, revision %d", r.Caller, r.Call.Operation,
 		r.Call.Name, r.Sent, r.Ended, r.Result.Status, r.Result.FencingToken, r.Result.Number, r.Result.Revision)
 }
--- a/internal/lab/callhistory/watches.go
+++ b/internal/lab/callhistory/watches.go
@@ -58,7 +58,7 @@
 	for _, w := range watches {
 		wasGiven := w.Succeeded() && w.Result.Revision == r.Call.AfterRevision
 		if wasGiven && w.endedBefore(r) && r.Sent-w.Ended < c.config.HistoryRetention {
-			c.addViolation(RuleLost, "%v got status 410 for a revision that an earlier watch returned, %v after that watch ended", r, r.Sent-w.Ended)
+			c.addViolation(RuleLost, "%v got status 410 (compacted) for a revision that an earlier watch returned, %v after the earlier watch ended", r, r.Sent-w.Ended)
 			return
 		}
 	}
