--- a/internal/gateway/coordination/leader.go
+++ b/internal/gateway/coordination/leader.go
@@ -150,8 +150,8 @@
 	return AttemptAmbiguous
 }
 
-// readLinearizable replies with the result of read. readLinearizable calls read after a majority has confirmed the leadership and after all
-// entries that were committed before the confirmation began are applied. withoutQuorum is a testing knob that skips the confirmation.
+// readLinearizable replies with the result of read. readLinearizable calls read when a majority has confirmed the leadership and this
+// node has applied all entries that were committed before the confirmation began. withoutQuorum is a testing knob that skips the confirmation.
 func (s *Service) readLinearizable(group groups.ID, withoutQuorum bool, reply replyFunc, read func() Result) {
 	if withoutQuorum {
 		reply(AttemptDone, read())
--- a/internal/gateway/coordination/state.go
+++ b/internal/gateway/coordination/state.go
@@ -22,6 +22,7 @@
 	keys             keyTable
 }
 
+// newContents returns contents without locks, numbers and keys.
 func newContents() contents {
 	return contents{locks: map[string]*lockState{}, numbers: map[string]uint64{}, keys: newKeyTable()}
 }
@@ -50,6 +51,7 @@
 	return encodeResult(s.applyEntry(&e))
 }
 
+// applyEntry executes the call of a decoded log entry on the state and returns the call's result.
 func (s *State) applyEntry(e *entry) Result {
 	switch e.call.Operation {
 	case LockAcquire:
--- a/internal/gateway/coordination/status.go
+++ b/internal/gateway/coordination/status.go
@@ -48,6 +48,7 @@
 	return status
 }
 
+// groupStatus returns the status of the state's group for ServiceStatus.
 func (s *State) groupStatus(id groups.ID, isLeader bool) GroupStatus {
 	status := GroupStatus{
 		ID:           id,
--- a/internal/lab/callhistory/history_test.go
+++ b/internal/lab/callhistory/history_test.go
@@ -93,9 +93,12 @@
 			b.addRelease("a", 2)
 			b.addAcquire("b", 2, 10)
 		}},
-		"number repeated":    {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(4) }},
-		"number decreases":   {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(3) }},
-		"revision decreases": {RuleOrder, func(b *historyBuilder) { b.addPut("v2", 0, resultWithRevision(2)); b.addPut("v1", 0, resultWithRevision(1)) }},
+		"number repeated":  {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(4) }},
+		"number decreases": {RuleOrder, func(b *historyBuilder) { b.addNumber(4); b.addNumber(3) }},
+		"revision decreases": {RuleOrder, func(b *historyBuilder) {
+			b.addPut("v2", 0, resultWithRevision(2))
+			b.addPut("v1", 0, resultWithRevision(1))
+		}},
 		"conditional put after a later revision": {RuleOrder, func(b *historyBuilder) {
 			b.addPut("v1", 0, resultWithRevision(1))
 			b.addPut("v2", 0, resultWithRevision(2))
