--- a/internal/gateway/rollout/simulation_test.go
+++ b/internal/gateway/rollout/simulation_test.go
@@ -28,13 +28,14 @@
 	backendLatencyFactor map[uint64]float64 // random factor, by backend number
 	// commonFactors returns the factors by which the failure rate and the latency of both sides are multiplied.
 	commonFactors func(now time.Duration) (fails, slower float64)
-	// fault returns the failure rate that is added for a request, and a factor on its latency.
+	// fault returns the probability that is added to a request's failure probability, and the factor by which the request's latency is
+	// multiplied.
 	fault func(now time.Duration, e *Outcome, zone int, tenant int) (fails, slower float64)
-	now   time.Duration
+	now   time.Duration // simulated time since the start of the roll-out
 
 	canaryRequests, canaryFailures int    // number of requests sent to the canary, and number of these requests that failed
 	lostReportsOfSeven             int    // average number of lost reports out of seven sent ones
-	evidenceBytes                  int    // size of the evidence in all reports
+	evidenceBytes                  int    // size of the encoded evidence in all reports that the nodes sent, in bytes
 	rollbackReason                 string // empty until the coordinator rolls back
 	localRollbacks                 int    // number of local rollbacks at all nodes
 }
@@ -171,7 +172,7 @@
 				mu.Lock()
 				if localRollbacks += sim.localRollbacks; sim.rollbackReason != "" {
 					falsePositives++
-					t.Logf("seed %d at %v: %s", seed, sim.now, sim.rollbackReason)
+					t.Logf("seed=%d: a good version was rolled back after %v: %s", seed, sim.now, sim.rollbackReason)
 				}
 				if sim.state.Run("libro").Step == 4 {
 					finished++
@@ -196,7 +197,7 @@
 	faultyBackend := uint64(1 + sim.rng.Intn(baselineBackendCount+canaryBackendCount))
 	unhealthyZone := sim.rng.Intn(3)
 	switch sim.rng.Intn(5) {
-	case 0:
+	case 0: // for 6 s, both sides have 15 times as many failures and 2.5 times the latency
 		sim.commonFactors = func(now time.Duration) (float64, float64) {
 			if isActive(now, 6*time.Second) {
 				return 15, 2.5
@@ -210,7 +211,7 @@
 			}
 			return 0, 1
 		}
-	case 2:
+	case 2: // one backend of either side is faulty all the time
 		sim.fault = func(_ time.Duration, e *Outcome, _, _ int) (float64, float64) {
 			if e.Backend == faultyBackend {
 				return 0.2, 2
@@ -232,7 +233,7 @@
 	t.Parallel()
 	type fault = func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64)
 	type only = func(now time.Duration, e *Outcome, zone, tenant int) bool
-	failsWhen := func(fails, slower float64, only only) fault {
+	newCanaryFault := func(fails, slower float64, only only) fault {
 		return func(now time.Duration, e *Outcome, zone, tenant int) (float64, float64) {
 			if e.Side == Canary && only(now, e, zone, tenant) {
 				return fails, slower
@@ -240,34 +241,34 @@
 			return 0, 1
 		}
 	}
-	oneZone := func(_ time.Duration, _ *Outcome, zone, _ int) bool { return zone == 1 }
-	oneTenant := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
-	warmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
-	afterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
-	allRequests := func(time.Duration, *Outcome, int, int) bool { return true }
-	writes := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
+	isInZoneOne := func(_ time.Duration, _ *Outcome, zone, _ int) bool { return zone == 1 }
+	isOfTenantThree := func(_ time.Duration, _ *Outcome, _, tenant int) bool { return tenant == 3 }
+	isWarmingUp := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.WarmingUp }
+	isAfterTenMinutes := func(now time.Duration, _ *Outcome, _, _ int) bool { return now > 10*time.Minute }
+	isAnyRequest := func(time.Duration, *Outcome, int, int) bool { return true }
+	isWrite := func(_ time.Duration, e *Outcome, _, _ int) bool { return e.Kind == Write }
 	for _, c := range []struct {
 		name  string
-		share int
-		rate  float64
+		share int     // canary's share of the users, in basis points
+		rate  float64 // requests per second at all nodes together
 		fault fault
-		most  time.Duration // documented limit of the median time to the rollback
+		most  time.Duration // highest allowed median of the time from the start of the fault to the rollback, as documented
 	}{
-		{"1 in 5 writes fails", 100, 350, failsWhen(.2, 1, writes), 80 * time.Second},
-		{"1 in 5 writes fails", 1000, 350, failsWhen(.2, 1, writes), 8 * time.Second},
-		{"1 in 5 writes fails", 5000, 350, failsWhen(.2, 1, writes), 5 * time.Second},
-		{"1 in 5 writes fails", 9000, 350, failsWhen(.2, 1, writes), 15 * time.Second},
-		{"1 in 5 writes fails", 1000, 3500, failsWhen(.2, 1, writes), 3 * time.Second},
-		{"all requests fail", 100, 350, failsWhen(1, 1, allRequests), 6 * time.Second},
-		{"all requests fail", 5000, 350, failsWhen(1, 1, allRequests), 3 * time.Second},
-		{"1 in 200 requests fails", 2500, 3500, failsWhen(.005, 1, allRequests), 90 * time.Second},
-		{"1 in 50 requests fails", 2500, 350, failsWhen(.02, 1, allRequests), 40 * time.Second},
-		{"1 tenant of 8: 1 in 2 fails", 1000, 350, failsWhen(.5, 1, oneTenant), 25 * time.Second},
-		{"1 zone of 3: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, oneZone), 15 * time.Second},
-		{"latency doubled", 1000, 350, failsWhen(0, 2, allRequests), 45 * time.Second},
-		{"latency tripled", 1000, 350, failsWhen(0, 3, allRequests), 15 * time.Second},
-		{"during warm-up: 1 in 5 fails", 1000, 350, failsWhen(.2, 1, warmingUp), 8 * time.Second},
-		{"after 10 minutes: 1 in 5 fails", 1000, 60, failsWhen(.2, 1, afterTenMinutes), 60 * time.Second},
+		{"1 in 5 writes fails, 1 %, 350/s", 100, 350, newCanaryFault(.2, 1, isWrite), 80 * time.Second},
+		{"1 in 5 writes fails, 10 %, 350/s", 1000, 350, newCanaryFault(.2, 1, isWrite), 8 * time.Second},
+		{"1 in 5 writes fails, 50 %, 350/s", 5000, 350, newCanaryFault(.2, 1, isWrite), 5 * time.Second},
+		{"1 in 5 writes fails, 90 %, 350/s", 9000, 350, newCanaryFault(.2, 1, isWrite), 15 * time.Second},
+		{"1 in 5 writes fails, 10 %, 3500/s", 1000, 3500, newCanaryFault(.2, 1, isWrite), 3 * time.Second},
+		{"all requests fail, 1 %", 100, 350, newCanaryFault(1, 1, isAnyRequest), 6 * time.Second},
+		{"all requests fail, 50 %", 5000, 350, newCanaryFault(1, 1, isAnyRequest), 3 * time.Second},
+		{"1 in 200 requests fails", 2500, 3500, newCanaryFault(.005, 1, isAnyRequest), 90 * time.Second},
+		{"1 in 50 requests fails", 2500, 350, newCanaryFault(.02, 1, isAnyRequest), 40 * time.Second},
+		{"1 tenant of 8: 1 in 2 fails", 1000, 350, newCanaryFault(.5, 1, isOfTenantThree), 25 * time.Second},
+		{"1 zone of 3: 1 in 5 fails", 1000, 350, newCanaryFault(.2, 1, isInZoneOne), 15 * time.Second},
+		{"latency doubled", 1000, 350, newCanaryFault(0, 2, isAnyRequest), 45 * time.Second},
+		{"latency tripled", 1000, 350, newCanaryFault(0, 3, isAnyRequest), 15 * time.Second},
+		{"during warm-up: 1 in 5 fails", 1000, 350, newCanaryFault(.2, 1, isWarmingUp), 8 * time.Second},
+		{"after 10 minutes: 1 in 5 fails", 1000, 60, newCanaryFault(.2, 1, isAfterTenMinutes), 60 * time.Second},
 	} {
 		const runs = 5
 		var took []time.Duration
--- a/internal/lab/callers/callers.go
+++ b/internal/lab/callers/callers.go
@@ -11,7 +11,7 @@
 
 // Environment provides the clock that callers run on and the system that they call.
 type Environment interface {
-	// Now returns the current time of the clock.
+	// Now returns the time that has passed on the clock of all callers since a fixed point that the environment chooses.
 	Now() time.Duration
 	// After runs action once the time wait has passed.
 	After(wait time.Duration, action func())
@@ -87,7 +87,7 @@
 func (c *Callers) Stop() { c.stopping = true }
 
 // Audit sends a call for each lock, counter, key group and key. Call Audit after all faults have ended and every lease has expired. Each
-// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls for which this is not the case.
+// call must then be answered with the status OK or NotFound. UnansweredAuditCalls returns the calls that got no such answer.
 func (c *Callers) Audit() {
 	for i := range counterCount {
 		c.sendAuditCall(coordination.Call{Operation: coordination.NumberNext, Name: counterName(i)})
--- a/internal/lab/callhistory/check.go
+++ b/internal/lab/callhistory/check.go
@@ -51,7 +51,7 @@
 type checker struct {
 	config        Config
 	recordsByName map[coordination.Operation]map[string][]*Record
-	puts          map[string]*put // keyed by putKey and filled by collectPuts
+	puts          map[string]*put // keyed by putIdentifier and filled by collectPuts
 	violations    []Violation
 }
 
@@ -74,7 +74,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkNumbers checks that the numbers of each counter increase (rule ORDER).
+// checkNumbers checks that the numbers of each counter increase. This check is part of the operators' rule ORDER (see the package comment).
 func (c *checker) checkNumbers() {
 	byName := c.recordsByName[coordination.NumberNext]
 	for _, name := range sortedKeys(byName) {
--- a/pkg/coordination/client.go
+++ b/pkg/coordination/client.go
@@ -78,8 +78,8 @@
 
 // callWithRetry sends a request to one node after the other until a node gives a definite response or the context ends. A node may
 // receive the request more than once, so the call must be safe to repeat. callWithRetry decodes the body of a successful response into
-// the value that into points to, unless into is nil. If the context ends, callWithRetry returns ErrUnclear when an attempt may have taken
-// effect, and ErrUnavailable otherwise.
+// the value that into points to, unless into is nil. If the context ends and an attempt may have taken effect,
+// callWithRetry returns ErrUnclear. If the context ends and no attempt can have taken effect, it returns ErrUnavailable.
 func (c *Client) callWithRetry(ctx context.Context, r request, into any) error {
 	var body []byte
 	if r.method != http.MethodGet {
@@ -90,7 +90,7 @@
 	}
 	ambiguous := false
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		resp, err := c.attempt(ctx, r, body)
+		resp, err := c.sendAttempt(ctx, r, body)
 		if err == nil && resp.isDefinite() {
 			if err = resp.errorForStatus(); err != nil || into == nil {
 				return err
@@ -119,9 +119,9 @@
 	}
 }
 
-// attempt sends a request to the node that nextNode selects. If there is no definite response, attempt increments nextNode, so that all
-// callers of the client continue with the next node.
-func (c *Client) attempt(ctx context.Context, r request, body []byte) (result response, err error) {
+// sendAttempt sends a request to the node that nextNode selects. If there is no definite response, sendAttempt increments nextNode, so that
+// all callers of the client continue with the next node.
+func (c *Client) sendAttempt(ctx context.Context, r request, body []byte) (result response, err error) {
 	nodeIndex := c.nextNode.Load()
 	defer func() {
 		if err != nil || !result.isDefinite() {
