--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -62,7 +62,7 @@
 	case notRun != nil:
 		meaning.Ending = control.Rejected
 	case status < 300:
-		if hasValidSeal(head, message) {
+		if hasSealWithoutEncoding(head, message) {
 			meaning.Ending = control.Succeeded
 		}
 	case status == 408 || status == 429 || status == 503: // without X-Not-Run, the request may have run
@@ -76,7 +76,7 @@
 
 // hasValidSeal reports whether a response has an X-Backend-Seal header and no content encoding. An encoding shows that
 // an intermediary may have changed the body after the backend sealed the response.
-func hasValidSeal(head *http1.Reader, message []byte) bool {
+func hasSealWithoutEncoding(head *http1.Reader, message []byte) bool {
 	seal, _ := head.Get(message, "x-backend-seal")
 	encoding, _ := head.Get(message, "content-encoding")
 	return len(seal) > 0 && (len(encoding) == 0 || http1.Same(encoding, "identity"))
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -35,11 +35,11 @@
 }
 
 func (f *fakeModule) Now(time.Duration) {}
-func (f *fakeModule) TxnArrived(x control.Txn) {
-	f.expiry[x.ID] = x.Expiry
-	d := control.Decision{Action: control.Submit, Txn: x.ID, Backend: 7}
+func (f *fakeModule) TxnArrived(txn control.Txn) {
+	f.expiry[txn.ID] = txn.Expiry
+	d := control.Decision{Action: control.Submit, Txn: txn.ID, Backend: 7}
 	if f.rejectReason != 0 {
-		d = control.Decision{Action: control.Reject, Txn: x.ID, Reason: f.rejectReason, After: 1500 * time.Millisecond}
+		d = control.Decision{Action: control.Reject, Txn: txn.ID, Reason: f.rejectReason, After: 1500 * time.Millisecond}
 	}
 	f.decisions = append(f.decisions, d)
 }
@@ -48,10 +48,10 @@
 	f.decisions = append(f.decisions, control.Decision{Action: control.Cancel, Txn: id})
 }
 
-func (f *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, e control.Ending, over bool,
+func (f *fakeModule) SubmissionEnded(id control.TxnID, _ int, _ control.BackendID, ending control.Ending, over bool,
 	_ time.Duration, _ []float64) {
 	d := control.Decision{Action: control.Fail, Txn: id, Reason: control.ReasonNoBackend}
-	if e == control.Rejected || e == control.Unreachable || e == control.NotSent {
+	if ending == control.Rejected || ending == control.Unreachable || ending == control.NotSent {
 		d.Action = control.Reject
 	}
 	if !over {
@@ -115,26 +115,26 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	st := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), catalog: &fakeCatalog{},
+	testNode := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), catalog: &fakeCatalog{},
 		module: &fakeModule{expiry: map[control.TxnID]time.Duration{}}}
-	clk := &clock{Engine: st.engine}
-	st.gate = gate.New(st.module, clk, 1000, st.engine.Count, zap.NewNop())
-	clk.wakeTarget = st.gate
-	st.dispatch = upstream.New(st.engine, st.gate, UpstreamConfig(st.catalog, time.Second), func() bool { return false })
-	st.server = downstream.New(st.engine, 500, DownstreamBounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
+	gateClock := &clock{Engine: testNode.engine}
+	testNode.gate = gate.New(testNode.module, gateClock, 1000, testNode.engine.Count, zap.NewNop())
+	gateClock.wakeTarget = testNode.gate
+	testNode.dispatch = upstream.New(testNode.engine, testNode.gate, UpstreamConfig(testNode.catalog, time.Second), func() bool { return false })
+	testNode.server = downstream.New(testNode.engine, 500, DownstreamBounds(Limits{16 << 10, 4 << 20, 5 * time.Second, 15 * time.Second}),
 		func() bool { return false })
-	handler := New(st.server, st.engine, st.gate, st.catalog)
+	handler := New(testNode.server, testNode.engine, testNode.gate, testNode.catalog)
 	must.True(t, handler != nil)
-	st.gate.SetTransport(st.dispatch, nil)
-	st.engine.OnTurnEnd(st.gate.RunDecisions)
-	must.NoError(t, st.engine.Listen("127.0.0.1:0", st.server.Accept))
+	testNode.gate.SetTransport(testNode.dispatch, nil)
+	testNode.engine.OnTurnEnd(testNode.gate.RunDecisions)
+	must.NoError(t, testNode.engine.Listen("127.0.0.1:0", testNode.server.Accept))
 	var err error
-	st.backend, err = standin.NewScript()
+	testNode.backend, err = standin.NewScript()
 	must.NoError(t, err)
-	must.NoError(t, st.engine.Start())
-	st.engine.Turn(func() { st.dispatch.SetBackend(7, st.backend.Addr(), 0, true) })
-	t.Cleanup(func() { st.engine.Stop(); st.backend.Close() })
-	return st
+	must.NoError(t, testNode.engine.Start())
+	testNode.engine.Turn(func() { testNode.dispatch.SetBackend(7, testNode.backend.Addr(), 0, true) })
+	t.Cleanup(func() { testNode.engine.Stop(); testNode.backend.Close() })
+	return testNode
 }
 
 type client struct {
@@ -195,37 +195,37 @@
 // Guards against requests and responses that are forwarded with changes. Hop-by-hop headers must be dropped, and the
 // gateway headers of the client must be replaced. All other headers and the body must stay.
 func TestForwardedHeadersAndBody(t *testing.T) {
-	st := newFixture(t)
-	c := st.dial()
+	testNode := newFixture(t)
+	c := testNode.dial()
 	c.send(requestText("PATCH", "/pure/a?b=c&d", "a1", "Connection: X-Attempt-Id, x-hop, keep-alive\r\nX-Hop: 1\r\n"+
 		"X-Tenant: liar\r\nX-Expect-Backend: i-0\r\nX-Deadline-Ms: 1500\r\nTE: trailers\r\nX-Other: kept\r\n"+
 		"Transfer-Encoding: chunked\r\n") +
 		"3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: u\r\n\r\n")
-	x := st.backend.Next()
+	call := testNode.backend.Next()
 	left := 0
 	var lines []string
-	for _, l := range strings.Split(strings.TrimSpace(x.Head), "\r\n") {
+	for _, l := range strings.Split(strings.TrimSpace(call.Head), "\r\n") {
 		if n, _ := fmt.Sscanf(l, "X-Deadline-Ms: %d", &left); n == 0 {
 			lines = append(lines, l)
 		}
 	}
 	must.Eq(t, []string{"PATCH /pure/a?b=c&d HTTP/1.1", "Host: Lots.example:80", "X-Attempt-Id: a1", "X-Other: kept",
 		"X-Expect-Backend: i-7", "X-Tenant: huka", "Content-Length: 5"}, lines)
-	must.Eq(t, "abcde", x.Body)
+	must.Eq(t, "abcde", call.Body)
 	must.Between(t, 1000, left, 1500)
-	x.Answer(okResponseText("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
+	call.Answer(okResponseText("a1", "Connection: X-Backend-Seal, x-hop\r\nX-Hop: 2\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n", "body"))
 	must.Eq(t, "body", c.expectResponse("HTTP/1.1 200 Fine", "X-Attempt-Id: a1", "X-Backend-Seal: s1", "Set-Cookie: a",
 		"Set-Cookie: b", "!X-Hop", "!Connection"))
 	c.send(requestText("HEAD", "/open/", "a2", "") + requestText("GET", "/open/", "a3", "Connection: close\r\n"))
-	x = st.backend.Next()
-	must.StrNotContains(t, x.Head, "Tenant")
-	x.Answer("HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Backend-Seal: s\r\nContent-Length: 9\r\n\r\n")
+	call = testNode.backend.Next()
+	must.StrNotContains(t, call.Head, "Tenant")
+	call.Answer("HTTP/1.1 200 OK\r\nX-Attempt-Id: a2\r\nX-Backend-Seal: s\r\nContent-Length: 9\r\n\r\n")
 	line, _ := c.reader.ReadString('\n')
 	must.Eq(t, "HTTP/1.1 200 OK\r\n", line)
 	for line != "\r\n" {
 		line, _ = c.reader.ReadString('\n')
 	}
-	st.backend.Next().Answer(okResponseText("a3", "", "third"))
+	testNode.backend.Next().Answer(okResponseText("a3", "", "third"))
 	must.Eq(t, "third", c.expectResponse("HTTP/1.1 200 Fine", "Connection: close"))
 	c.expectEOF()
 }
@@ -233,10 +233,10 @@
 // Guards against a wrong status for a rejected request. A node whose configuration is pending must answer 503 and not 404
 // or 401. Malformed requests must get a 4xx without a connection to a backend.
 func TestRejectedRequests(t *testing.T) {
-	st := newFixture(t)
+	testNode := newFixture(t)
 	good := requestText("GET", "/pure/", "r", "")
 	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
-	for _, x := range []struct{ text, line string }{
+	for _, testCase := range []struct{ text, line string }{
 		{swap("/pure/", "/none/"), "404 Not Found"}, {swap("Lots", "bids"), "404 Not Found"},
 		{swap("k1", "k2"), "401 Unauthorized"}, {swap("Token", "Basic"), "401 Unauthorized"},
 		{swap("X-Attempt-Id: r\r\n", ""), "400 Bad Request"}, {swap("Host", "Ghost"), "400 Bad Request"},
@@ -249,39 +249,39 @@
 		{swap("\r\n\r\n", "\r\nContent-Length: 4194305\r\n\r\n"), "413 Content Too Large"},
 		{swap("\r\n\r\n", "\r\nA: "+strings.Repeat("a", 17<<10)+"\r\n\r\n"), "431 Request Header Fields Too Large"},
 	} {
-		c := st.dial()
-		c.send(x.text)
-		c.expectResponse("HTTP/1.1 " + x.line)
+		c := testNode.dial()
+		c.send(testCase.text)
+		c.expectResponse("HTTP/1.1 " + testCase.line)
 	}
-	st.engine.Turn(func() { st.module.rejectReason = control.ReasonNoUnits })
-	c := st.dial()
+	testNode.engine.Turn(func() { testNode.module.rejectReason = control.ReasonNoUnits })
+	c := testNode.dial()
 	c.send(good)
 	c.expectResponse("HTTP/1.1 429 Too Many Requests", "Retry-After: 1.500", "X-Attempt-Id: r")
-	st.engine.Turn(func() { st.module.rejectReason = control.ReasonNoBackend })
+	testNode.engine.Turn(func() { testNode.module.rejectReason = control.ReasonNoBackend })
 	c.send(good)
 	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 1.500")
-	st.engine.Turn(func() { st.catalog.configurationPending = true })
+	testNode.engine.Turn(func() { testNode.catalog.configurationPending = true })
 	c.send(good)
 	c.expectResponse("HTTP/1.1 503 Service Unavailable", "Retry-After: 0.300")
-	must.Eq(t, 0, st.counterValue(counters.Dials))
+	must.Eq(t, 0, testNode.counterValue(counters.Dials))
 }
 
 // Guards against a wrong status for the client after each outcome of a submission to a backend. A response that does not
 // prove that the request did not run must never become a 503, since the client may then safely retry.
 func TestAnswerForEachBackendOutcome(t *testing.T) {
-	st := newFixture(t)
+	testNode := newFixture(t)
 	responder := func(status, more string) func(*standin.Call) {
-		return func(x *standin.Call) {
-			x.Answer("HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\n" + more + "Content-Length: 2\r\n\r\nno")
+		return func(call *standin.Call) {
+			call.Answer("HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\n" + more + "Content-Length: 2\r\n\r\nno")
 		}
 	}
 	const unavailable, bad = "503 Service Unavailable", "502 Bad Gateway"
-	for _, x := range []struct {
-		what   string
-		says   func(*standin.Call) // writes the response of the backend
-		pure   string              // status line for the client of a request that may run again
-		once   string              // status line for the client of a request that may run at most once
-		ending counters.ID         // counter that must increase by 1
+	for _, testCase := range []struct {
+		name    string
+		respond func(*standin.Call) // writes the response of the backend
+		pure    string              // status line for the client of a request that may run again
+		once    string              // status line for the client of a request that may run at most once
+		ending  counters.ID         // counter that must increase by 1
 	}{
 		{"500 without X-Not-Run", responder("500 Oops", ""), "502 Bad Gateway", "500 Oops", counters.EndErrored},
 		{"504 without X-Not-Run", responder("504 Late", ""), "502 Bad Gateway", "504 Late", counters.EndErrored},
@@ -292,47 +292,47 @@
 		{"503 without X-Not-Run", responder("503 Full", ""), bad, bad, counters.EndErrored},
 		{"200 without X-Backend-Seal", responder("200 OK", ""), bad, bad, counters.EndErrored},
 		{"200 with Content-Encoding", responder("200 OK", "X-Backend-Seal: s\r\nContent-Encoding: gzip\r\n"), bad, bad, counters.EndErrored},
-		{"500 without X-Attempt-Id", func(x *standin.Call) { x.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
+		{"500 without X-Attempt-Id", func(call *standin.Call) { call.Answer("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n") },
 			bad, bad, counters.EndBroken},
-		{"response body truncated", func(x *standin.Call) { x.Answer(okResponseText("e", "", "some")[:80]); x.Conn.Close() },
+		{"response body truncated", func(call *standin.Call) { call.Answer(okResponseText("e", "", "some")[:80]); call.Conn.Close() },
 			bad, bad, counters.EndBroken},
-		{"connection reset", func(x *standin.Call) { x.Conn.(*net.TCPConn).SetLinger(0); x.Conn.Close() },
+		{"connection reset", func(call *standin.Call) { call.Conn.(*net.TCPConn).SetLinger(0); call.Conn.Close() },
 			bad, bad, counters.EndBroken},
-		{"response is not HTTP", func(x *standin.Call) { x.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
+		{"response is not HTTP", func(call *standin.Call) { call.Answer("\x00\x01\r\n") }, bad, bad, counters.EndBroken},
 	} {
-		for path, line := range map[string]string{"/pure/": x.pure, "/once/": x.once} {
-			c, before := st.dial(), st.counterValue(x.ending)
+		for path, line := range map[string]string{"/pure/": testCase.pure, "/once/": testCase.once} {
+			c, before := testNode.dial(), testNode.counterValue(testCase.ending)
 			c.send(requestText("POST", path, "e", ""))
-			x.says(st.backend.Next())
+			testCase.respond(testNode.backend.Next())
 			c.expectResponse("HTTP/1.1 " + line)
-			must.Eq(t, before+1, st.counterValue(x.ending), must.Sprint(x.what, path))
+			must.Eq(t, before+1, testNode.counterValue(testCase.ending), must.Sprint(testCase.name, path))
 		}
 	}
-	must.Eq(t, []control.BackendID{7, 7}, st.catalog.replaced)
+	must.Eq(t, []control.BackendID{7, 7}, testNode.catalog.replaced)
 }
 
 // Guards against responses of the gateway that carry the X-Backend-Seal header of a backend. Only a complete response of
 // the backend may have the seal, and must then have the status of the backend. The failure would occur if the gateway
 // copied headers of a rejected or truncated response.
 func TestGatewayErrorsHaveNoBackendSeal(t *testing.T) {
-	st := newFixture(t)
+	testNode := newFixture(t)
 	for _, status := range []string{"200 OK", "204 Empty", "302 Away", "403 No", "408 Slow", "421 Wrong", "429 Full", "500 Oops", "502 Bad",
 		"503 Full", "504 Late"} {
 		for name, more := range map[string]string{"": "", "not run": "X-Not-Run: 1\r\n", "encoded": "Content-Encoding: gzip\r\n"} {
 			for _, cut := range []bool{false, true} {
 				for _, path := range []string{"/pure/", "/once/"} {
-					c := st.dial()
+					c := testNode.dial()
 					c.send(requestText("POST", path, "e", ""))
-					x := st.backend.Next()
+					call := testNode.backend.Next()
 					text := "HTTP/1.1 " + status + "\r\nX-Attempt-Id: e\r\nX-Backend-Seal: s\r\n" + more + "Content-Length: 2\r\n\r\nno"
 					if status == "204 Empty" {
 						text = strings.Replace(text, "Content-Length: 2\r\n\r\nno", "\r\n", 1)
 					}
 					if cut { // the last byte of the response is missing
-						x.Answer(text[:len(text)-1])
-						x.Conn.Close()
+						call.Answer(text[:len(text)-1])
+						call.Conn.Close()
 					} else {
-						x.Answer(text)
+						call.Answer(text)
 					}
 					head, _, err := standin.ReadMessage(c.reader)
 					must.NoError(t, err)
@@ -352,16 +352,16 @@
 // Guards against a response that reaches the wrong client. A response with the ID of another request must be skipped. A
 // surplus response must close the connection to the backend.
 func TestResponseWithOtherAttemptIDIsSkipped(t *testing.T) {
-	st := newFixture(t)
-	c := st.dial()
+	testNode := newFixture(t)
+	c := testNode.dial()
 	c.send(requestText("POST", "/once/", "x1", ""))
-	x := st.backend.Next()
-	x.Answer(okResponseText("x0", "", "not yours") + okResponseText("x1", "", "yours") + okResponseText("x2", "", "nobody's"))
+	call := testNode.backend.Next()
+	call.Answer(okResponseText("x0", "", "not yours") + okResponseText("x1", "", "yours") + okResponseText("x2", "", "nobody's"))
 	must.Eq(t, "yours", c.expectResponse("HTTP/1.1 200 Fine"))
-	x.Conn.SetReadDeadline(time.Now().Add(testTimeout))
-	_, err := x.Conn.Read(make([]byte, 1))
+	call.Conn.SetReadDeadline(time.Now().Add(testTimeout))
+	_, err := call.Conn.Read(make([]byte, 1))
 	must.Error(t, err)
-	must.Eq(t, 1, st.counterValue(counters.OtherAnswer))
+	must.Eq(t, 1, testNode.counterValue(counters.OtherAnswer))
 }
 
 // Guards against requests on a connection that the backend may be closing, and against more connections to a backend than
@@ -376,28 +376,28 @@
 		must.Eq(t, want, d)
 	}
 	must.True(t, dialect.Wary())
-	st := newFixture(t)
-	st.engine.Turn(func() { st.dispatch.SetMaxConns(7, 1) })
-	c, other := st.dial(), st.dial()
+	testNode := newFixture(t)
+	testNode.engine.Turn(func() { testNode.dispatch.SetMaxConns(7, 1) })
+	c, other := testNode.dial(), testNode.dial()
 	c.send(requestText("GET", "/pure/", "m1", ""))
-	x := st.backend.Next()
+	call := testNode.backend.Next()
 	other.send(requestText("GET", "/pure/", "m2", ""))
 	other.expectResponse("HTTP/1.1 503 Service Unavailable")
-	x.Answer(okResponseText("m1", "", "a"))
+	call.Answer(okResponseText("m1", "", "a"))
 	c.expectResponse("HTTP/1.1 200 Fine")
 	c.send(requestText("GET", "/pure/", "m3", "")) // reuses the connection, since the limit is 1
-	st.backend.Next().Answer(okResponseText("m3", "Keep-Alive: timeout=0\r\n", "b"))
+	testNode.backend.Next().Answer(okResponseText("m3", "Keep-Alive: timeout=0\r\n", "b"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	must.Eq(t, 1, st.counterValue(counters.Dials))
+	must.Eq(t, 1, testNode.counterValue(counters.Dials))
 	c.send(requestText("GET", "/pure/", "m4", ""))
-	st.backend.Next().Answer(okResponseText("m4", "", "b"))
+	testNode.backend.Next().Answer(okResponseText("m4", "", "b"))
 	c.expectResponse("HTTP/1.1 200 Fine")
-	must.Eq(t, 2, st.counterValue(counters.Dials))
+	must.Eq(t, 2, testNode.counterValue(counters.Dials))
 }
 
 // deferredHandler does not answer a request in Take. It passes the request's ticket to the test, which answers later.
 type deferredHandler struct {
-	in      *downstream.Server
+	server  *downstream.Server
 	tickets chan downstream.Ticket
 }
 
@@ -411,23 +411,23 @@
 // Guards against a late answer that reaches the next request of the connection, or a client that has disconnected. A
 // ticket must be valid for exactly one request.
 func TestTicketAnswersOnlyItsRequest(t *testing.T) {
-	e := eventloop.New("", 256, 64<<10, 16<<20)
-	in := downstream.New(e, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
-	f := &deferredHandler{in, make(chan downstream.Ticket, 10)}
-	in.SetHandler(f)
-	must.NoError(t, e.Listen("127.0.0.1:0", (*eventloop.Link).CloseSoon))
-	must.NoError(t, e.Listen("127.0.0.1:0", in.Accept))
-	must.NoError(t, e.Start())
-	defer e.Stop()
+	engine := eventloop.New("", 256, 64<<10, 16<<20)
+	server := downstream.New(engine, 10, downstream.Bounds{Body: 4 << 20}, func() bool { return false })
+	handler := &deferredHandler{server, make(chan downstream.Ticket, 10)}
+	server.SetHandler(handler)
+	must.NoError(t, engine.Listen("127.0.0.1:0", (*eventloop.Link).CloseSoon))
+	must.NoError(t, engine.Listen("127.0.0.1:0", server.Accept))
+	must.NoError(t, engine.Start())
+	defer engine.Stop()
 	dial := func() *client {
-		c, err := net.Dial("tcp", e.AddrOf(1))
+		c, err := net.Dial("tcp", engine.AddrOf(1))
 		must.NoError(t, err)
 		c.SetDeadline(time.Now().Add(testTimeout))
 		return &client{t, c, bufio.NewReader(c)}
 	}
-	answerTicket := func(k downstream.Ticket, status int) (ok bool) {
-		e.Turn(func() {
-			ok = in.Answer(k, func(b []byte, _ bool) []byte {
+	answerTicket := func(ticket downstream.Ticket, status int) (ok bool) {
+		engine.Turn(func() {
+			ok = server.Answer(ticket, func(b []byte, _ bool) []byte {
 				return fmt.Appendf(b, "HTTP/1.1 %d A\r\nContent-Length: 0\r\n\r\n", status)
 			})
 		})
@@ -436,20 +436,20 @@
 	c := dial()
 	body := strings.Repeat("b", 3<<20)
 	go c.send(fmt.Sprintf("POST /api HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	first := <-f.tickets
+	first := <-handler.tickets
 	must.True(t, answerTicket(first, 200))
 	c.expectResponse("HTTP/1.1 200 A")
 	must.False(t, answerTicket(first, 201))
 	c.send("GET /api HTTP/1.1\r\n\r\n")
-	second := <-f.tickets
+	second := <-handler.tickets
 	must.False(t, answerTicket(first, 201))
 	must.True(t, answerTicket(second, 202))
 	c.expectResponse("HTTP/1.1 202 A")
 	c.send("GET /api HTTP/1.1\r\n\r\n")
-	third := <-f.tickets
+	third := <-handler.tickets
 	c.Close()
-	for in, end := 1, time.Now().Add(testTimeout); in > 0 && time.Now().Before(end); {
-		e.Turn(func() { in = f.in.Clients() })
+	for clientCount, end := 1, time.Now().Add(testTimeout); clientCount > 0 && time.Now().Before(end); {
+		engine.Turn(func() { clientCount = handler.server.Clients() })
 	}
 	must.False(t, answerTicket(third, 200))
 }
--- a/internal/gateway/ingress/streaming_test.go
+++ b/internal/gateway/ingress/streaming_test.go
@@ -65,10 +65,10 @@
 // Guards against damaged or incomplete streamed bodies. Bodies with a Content-Length and chunked bodies must arrive complete
 // in both directions, one after the other on one client connection, although each side reads slowly and buffers are bounded.
 func TestStreamedBodiesArriveComplete(t *testing.T) {
-	st := newFixture(t)
-	next := st.listenBackend()
+	testNode := newFixture(t)
+	next := testNode.listenBackend()
 	body := randomBody(3 << 20)
-	c := st.dial()
+	c := testNode.dial()
 	for i, chunked := range []bool{false, true, false, true} {
 		head := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		sent := body
@@ -107,16 +107,16 @@
 			conn.Close()
 		}
 	}
-	must.Eq(t, 4, st.counterValue(counters.Answered))
-	must.Eq(t, 1, st.counterValue(counters.ClientsOpened))
+	must.Eq(t, 4, testNode.counterValue(counters.Answered))
+	must.Eq(t, 1, testNode.counterValue(counters.ClientsOpened))
 }
 
 // Guards against a client that stops reading and delays other clients or makes the node buffer the whole response. The
 // unread rest of the response must wait in the backend's socket.
 func TestSlowClientDelaysOnlyItsOwnConnection(t *testing.T) {
-	st := newFixture(t)
-	next := st.listenBackend()
-	slow, quick := st.dial(), st.dial()
+	testNode := newFixture(t)
+	next := testNode.listenBackend()
+	slow, quick := testNode.dial(), testNode.dial()
 	slow.send(requestText("GET", "/pure/", "s", ""))
 	r, conn := next()
 	http.ReadRequest(r)
@@ -152,27 +152,27 @@
 // is sent a second time. The failures come about when a backend or a client disconnects, or sends an invalid chunk, in the
 // middle of a body.
 func TestTruncatedBodiesNeverLookComplete(t *testing.T) {
-	st := newFixture(t)
-	next := st.listenBackend()
+	testNode := newFixture(t)
+	next := testNode.listenBackend()
 	body := randomBody(1 << 20)
 	for _, head := range []string{"Content-Length: 1048576\r\n", "Transfer-Encoding: chunked\r\n"} {
 		sent := body
 		if strings.HasPrefix(head, "Transfer") {
 			sent = encodeChunked(body)
 		}
-		c := st.dial()
+		c := testNode.dial()
 		c.send(requestText("GET", "/pure/", "c", ""))
 		r, conn := next()
 		http.ReadRequest(r) // closing a connection with unread bytes would reset it
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: c\r\nX-Backend-Seal: s\r\n%s\r\n%s", head, sent[:len(sent)-50])
 		conn.Close()
-		a, err := http.ReadResponse(c.reader, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		must.NoError(t, err)
-		_, err = io.ReadAll(a.Body)
+		_, err = io.ReadAll(response.Body)
 		must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	}
-	must.Eq(t, 2, st.counterValue(counters.Truncated))
-	for i, x := range []struct {
+	must.Eq(t, 2, testNode.counterValue(counters.Truncated))
+	for i, testCase := range []struct {
 		answer string // response of the backend before the request body is complete
 		rest   string // bytes that the client sends after a complete chunk; used in the first case only
 		line   string // status line that the client gets
@@ -182,61 +182,61 @@
 		{"no answer\r\n", "", "502 Bad Gateway"},
 		{"HTTP/1.1 500 Oops\r\nX-Attempt-Id: d\r\nContent-Length: 0\r\n\r\n", "", "502 Bad Gateway"},
 	} {
-		c := st.dial()
+		c := testNode.dial()
 		c.send(requestText("PUT", "/pure/", "d", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"))
 		c.expectResponse("HTTP/1.1 100 Continue")
 		c.send(string(encodeChunked(body)[:1<<19]))
 		r, conn := next()
-		q, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(r)
 		must.NoError(t, err)
-		io.ReadFull(q.Body, make([]byte, 1<<18))
-		io.WriteString(conn, x.answer)
+		io.ReadFull(request.Body, make([]byte, 1<<18))
+		io.WriteString(conn, testCase.answer)
 		if i == 0 {
-			// The data completes the present chunk, so that the bytes of x.rest are parsed as the next chunk size.
-			c.send(strings.Repeat("x", 70000) + "\r\n" + x.rest)
+			// The data completes the present chunk, so that the bytes of testCase.rest are parsed as the next chunk size.
+			c.send(strings.Repeat("x", 70000) + "\r\n" + testCase.rest)
 		}
-		c.expectResponse("HTTP/1.1 "+x.line, "Connection: close")
+		c.expectResponse("HTTP/1.1 "+testCase.line, "Connection: close")
 	}
-	st.engine.Turn(func() { must.Eq(t, 0, st.gate.InFlight()) })
-	c := st.dial()
+	testNode.engine.Turn(func() { must.Eq(t, 0, testNode.gate.InFlight()) })
+	c := testNode.dial()
 	c.send(requestText("PUT", "/pure/", "e", "Content-Length: 1000000\r\n") + string(body[:500000]))
 	r, _ := next()
-	q, err := http.ReadRequest(r)
+	request, err := http.ReadRequest(r)
 	must.NoError(t, err)
-	io.ReadFull(q.Body, make([]byte, 400000))
+	io.ReadFull(request.Body, make([]byte, 400000))
 	c.Close() // the client disconnects in the middle of the body
-	_, err = io.ReadAll(q.Body)
+	_, err = io.ReadAll(request.Body)
 	must.Error(t, err)
 }
 
 // Guards against a streamed response that is cancelled after its head was sent. A Cancel decision must not stop the
 // response. A Fail decision, as after the deadline, must close both connections, so that the response looks truncated.
 func TestStartedResponseIsNotCancelled(t *testing.T) {
-	st := newFixture(t)
-	next := st.listenBackend()
+	testNode := newFixture(t)
+	next := testNode.listenBackend()
 	body := randomBody(1 << 20)
-	begin := func(id string) (c *client, conn *net.TCPConn, a *http.Response) {
-		c = st.dial()
+	begin := func(id string) (c *client, conn *net.TCPConn, response *http.Response) {
+		c = testNode.dial()
 		c.send(requestText("GET", "/pure/", id, ""))
 		r, conn := next()
 		http.ReadRequest(r)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id,
 			len(body), body[:1000])
-		a, err := http.ReadResponse(c.reader, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		must.NoError(t, err)
-		return c, conn, a
+		return c, conn, response
 	}
 	for _, action := range []control.Action{control.Cancel, control.Fail} {
-		_, conn, a := begin("g")
-		st.engine.Turn(func() {
+		_, conn, response := begin("g")
+		testNode.engine.Turn(func() {
 			d := control.Decision{Action: action}
-			for d.Txn = range st.module.expiry {
+			for d.Txn = range testNode.module.expiry {
 			}
-			clear(st.module.expiry)
-			st.module.decisions = append(st.module.decisions, d)
+			clear(testNode.module.expiry)
+			testNode.module.decisions = append(testNode.module.decisions, d)
 		})
 		conn.Write(body[1000:])
-		got, err := io.ReadAll(a.Body)
+		got, err := io.ReadAll(response.Body)
 		if action == control.Cancel {
 			must.NoError(t, err)
 			must.True(t, bytes.Equal(body, got))
@@ -247,17 +247,17 @@
 		_, err = conn.Read(make([]byte, 1))
 		must.Error(t, err)
 	}
-	st.engine.Turn(func() { must.Eq(t, 0, st.gate.InFlight()) })
-	must.Eq(t, 1, st.counterValue(counters.Truncated))
+	testNode.engine.Turn(func() { must.Eq(t, 0, testNode.gate.InFlight()) })
+	must.Eq(t, 1, testNode.counterValue(counters.Truncated))
 }
 
 // Guards against a request that a backend reads as the rest of another request's body. The failure comes about when a
 // backend answers before it has read a long body, and keeps the connection open. The connection must carry no other request.
 func TestEarlyResponseReservesConnectionForBody(t *testing.T) {
-	st := newFixture(t)
-	next := st.listenBackend()
+	testNode := newFixture(t)
+	next := testNode.listenBackend()
 	body := randomBody(3 << 20)
-	c := st.dial()
+	c := testNode.dial()
 	c.send(requestText("POST", "/once/", "early", fmt.Sprintf("Content-Length: %d\r\n", len(body))))
 	go c.Write(body[:len(body)/3]) // the rest of the body is never sent
 	r, conn := next()
@@ -265,12 +265,12 @@
 	must.NoError(t, err)
 	io.WriteString(conn, okResponseText("early", "", "soon"))
 	must.Eq(t, "soon", c.expectResponse("HTTP/1.1 200 Fine"))
-	other := st.dial()
+	other := testNode.dial()
 	other.send(requestText("GET", "/pure/", "other", ""))
 	secondReader, secondConn := next() // the second request uses a new connection
-	q, err := http.ReadRequest(secondReader)
+	request, err := http.ReadRequest(secondReader)
 	must.NoError(t, err)
-	must.Eq(t, "other", q.Header.Get("X-Attempt-Id"))
+	must.Eq(t, "other", request.Header.Get("X-Attempt-Id"))
 	io.WriteString(secondConn, okResponseText("other", "Connection: close\r\n", "quick"))
 	must.Eq(t, "quick", other.expectResponse("HTTP/1.1 200 Fine"))
 	rest, _ := io.ReadAll(r) // reads until the connection is closed or reset
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -36,11 +36,11 @@
 	removals, _ := readObject(call.get("removals")) // a null or omitted field has no entries
 	upserts, _ := readObject(call.get("upserts"))
 	emptied := map[string]bool{}
-	for _, e := range removals {
-		applyRemoval(&config, e, emptied)
+	for _, field := range removals {
+		applyRemoval(&config, field, emptied)
 	}
-	for _, e := range upserts {
-		applyUpsert(&config, e)
+	for _, field := range upserts {
+		applyUpsert(&config, field)
 	}
 	removeEmptiedHosts(&config, emptied)
 	config.set("generation", call.get("generation"))
@@ -78,24 +78,24 @@
 }
 
 // applyUpsert applies one field of upserts.
-func applyUpsert(config *object, e objectField) {
-	value := bytes.TrimSpace(e.value)
+func applyUpsert(config *object, upsert objectField) {
+	value := bytes.TrimSpace(upsert.value)
 	switch {
 	case bytes.Equal(value, []byte("null")):
-	case strings.EqualFold(e.name, fieldHosts):
+	case strings.EqualFold(upsert.name, fieldHosts):
 		hosts := readItems(config.get(fieldHosts), fieldHostname)
 		for _, host := range readItems(value, fieldHostname) {
 			hosts = putHostRoutes(hosts, host)
 		}
 		config.set(fieldHosts, encodeItems(hosts))
 	case value[0] == '[':
-		items := readItems(config.get(e.name), fieldName)
+		items := readItems(config.get(upsert.name), fieldName)
 		for _, it := range readItems(value, fieldName) {
 			items = putItem(items, it)
 		}
-		config.set(e.name, encodeItems(items))
+		config.set(upsert.name, encodeItems(items))
 	default:
-		config.set(e.name, value)
+		config.set(upsert.name, value)
 	}
 }
 
@@ -139,15 +139,15 @@
 }
 
 // putHostRoutes appends a host. If the host exists, its routes are added or replaced by name, and its other fields are overwritten.
-func putHostRoutes(hosts []namedItem, it namedItem) []namedItem {
-	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == it.name })
+func putHostRoutes(hosts []namedItem, host namedItem) []namedItem {
+	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == host.name })
 	if i < 0 {
-		return append(hosts, it)
+		return append(hosts, host)
 	}
 	current, err1 := readObject(hosts[i].raw)
-	added, err2 := readObject(it.raw)
+	added, err2 := readObject(host.raw)
 	if err1 != nil || err2 != nil {
-		hosts[i] = it
+		hosts[i] = host
 		return hosts
 	}
 	for _, e := range added {
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -48,17 +48,17 @@
 	violation string
 }
 
-// registerAfter returns the register of a node that applied the log and restored its own snapshot after the first from entries. If
-// from is 0, the node restored no snapshot.
-func (m *model) registerAfter(log string, from int8) *Register {
-	key := fmt.Sprint(log, from)
+// registerAfter returns the register of a node that applied the log and restored its own snapshot after the first restoredAt entries. If
+// restoredAt is 0, the node restored no snapshot.
+func (m *model) registerAfter(log string, restoredAt int8) *Register {
+	key := fmt.Sprint(log, restoredAt)
 	if r := m.registers[key]; r != nil {
 		return r
 	}
 	r := &Register{accepted: logentry.NewDedupWindow(modelWindow * 17), knobs: m.knobs}
-	for i, o := range log {
-		r.Apply(modelCalls[o].kind, []byte(modelCalls[o].body))
-		if int8(i)+1 == from {
+	for i, callIndex := range log {
+		r.Apply(modelCalls[callIndex].kind, []byte(modelCalls[callIndex].body))
+		if int8(i)+1 == restoredAt {
 			r, _ = restoreWithWindow(r.Snapshot(), modelWindow*17)
 			r.knobs = m.knobs
 		}
@@ -69,79 +69,80 @@
 
 // referenceState returns the version after a log, and the calls that were accepted, in order. It never forgets an accepted call.
 func referenceState(log string) (version uint64, accepted []int) {
-	for _, o := range log {
-		d := modelCalls[o]
-		if d.parent == version && d.generation > version && !slices.Contains(accepted, int(o)) {
-			version, accepted = d.generation, append(accepted, int(o))
+	for _, callIndex := range log {
+		call := modelCalls[callIndex]
+		if call.parent == version && call.generation > version && !slices.Contains(accepted, int(callIndex)) {
+			version, accepted = call.generation, append(accepted, int(callIndex))
 		}
 	}
 	return version, accepted
 }
 
 // checkAnswer records a violation if the answer to a call contradicts the log.
-func (m *model) checkAnswer(w *modelState, o int, v Result) {
-	version, accepted := referenceState(w.log)
-	index, d := slices.Index(accepted, o), modelCalls[o]
+func (m *model) checkAnswer(state *modelState, callIndex int, result Result) {
+	version, accepted := referenceState(state.log)
+	index, call := slices.Index(accepted, callIndex), modelCalls[callIndex]
 	switch {
-	case (v == Accepted || v == Duplicate) && index < 0:
+	case (result == Accepted || result == Duplicate) && index < 0:
 		m.violation = "call was confirmed but not accepted"
-	case v != Accepted && v != Duplicate && index >= len(accepted)-modelWindow && index >= 0:
+	case result != Accepted && result != Duplicate && index >= len(accepted)-modelWindow && index >= 0:
 		m.violation = "recently accepted call was not confirmed"
-	case (v == Conflict || v == Invalid) && index >= 0:
+	case (result == Conflict || result == Invalid) && index >= 0:
 		m.violation = "accepted call was rejected"
-	case (v == Conflict || v == Invalid) && d.parent == version && d.generation > version:
+	case (result == Conflict || result == Invalid) && call.parent == version && call.generation > version:
 		m.violation = "call valid in the newest state was rejected"
-	case v == Ambiguous && (len(accepted) <= modelWindow || d.generation > modelCalls[accepted[len(accepted)-modelWindow-1]].generation):
+	case result == Ambiguous && (len(accepted) <= modelWindow || call.generation > modelCalls[accepted[len(accepted)-modelWindow-1]].generation):
 		m.violation = "call above the horizon was ambiguous"
-	case v == Conflict || v == Invalid:
-		w.rejected[o] = w.rejected[o] || d.parent <= version
+	case result == Conflict || result == Invalid:
+		state.rejected[callIndex] = state.rejected[callIndex] || call.parent <= version
 	}
 }
 
 // successors returns every state that can follow a state in one step.
-func (m *model) successors(w modelState) (all []modelState) {
-	addSuccessor := func(do func(w *modelState)) {
-		next := w
+func (m *model) successors(state modelState) (all []modelState) {
+	addSuccessor := func(do func(state *modelState)) {
+		next := state
 		do(&next)
 		all = append(all, next)
 	}
-	for o, d := range modelCalls {
-		for i := range w.appliedCount {
-			if w.remainingSends[o] == 0 {
+	for callIndex, call := range modelCalls {
+		for i := range state.appliedCount {
+			if state.remainingSends[callIndex] == 0 {
 				continue
 			}
-			addSuccessor(func(w *modelState) {
-				w.remainingSends[o]--
-				if v, _, final := m.registerAfter(w.log[:w.appliedCount[i]], w.snapshotIndex[i]).DecideFinal(d.kind, []byte(d.body)); final {
-					m.checkAnswer(w, o, v)
+			addSuccessor(func(state *modelState) {
+				state.remainingSends[callIndex]--
+				if result, _, final := m.registerAfter(state.log[:state.appliedCount[i]], state.snapshotIndex[i]).DecideFinal(call.kind,
+					[]byte(call.body)); final {
+					m.checkAnswer(state, callIndex, result)
 				} else {
-					w.pending += string(rune(o))
+					state.pending += string(rune(callIndex))
 				}
 			})
 		}
 	}
-	if w.pending != "" {
-		addSuccessor(func(w *modelState) { w.pending = "" }) // a new leader lacks the proposed entries; operators get no answer
-		addSuccessor(func(w *modelState) {
-			o := int(w.pending[0])
-			v, _ := m.registerAfter(w.log, w.snapshotIndex[modelNodes]).Decide(modelCalls[o].kind, []byte(modelCalls[o].body))
-			w.log, w.pending = w.log+w.pending[:1], w.pending[1:]
-			if v == Accepted && w.rejected[o] {
+	if state.pending != "" {
+		addSuccessor(func(state *modelState) { state.pending = "" }) // a new leader lacks the proposed entries; operators get no answer
+		addSuccessor(func(state *modelState) {
+			callIndex := int(state.pending[0])
+			result, _ := m.registerAfter(state.log, state.snapshotIndex[modelNodes]).Decide(modelCalls[callIndex].kind, []byte(modelCalls[callIndex].body))
+			state.log, state.pending = state.log+state.pending[:1], state.pending[1:]
+			if result == Accepted && state.rejected[callIndex] {
 				m.violation = "rejected call was accepted later"
 			}
-			m.checkAnswer(w, o, v)
+			m.checkAnswer(state, callIndex, result)
 		})
 	}
-	for i := range w.appliedCount {
-		if int(w.appliedCount[i]) < len(w.log) {
-			addSuccessor(func(w *modelState) { w.appliedCount[i]++ })
+	for i := range state.appliedCount {
+		if int(state.appliedCount[i]) < len(state.log) {
+			addSuccessor(func(state *modelState) { state.appliedCount[i]++ })
 		}
-		if w.snapshotIndex[i] != w.appliedCount[i] {
-			addSuccessor(func(w *modelState) { w.snapshotIndex[i] = w.appliedCount[i] }) // the node restarts from its snapshot
+		if state.snapshotIndex[i] != state.appliedCount[i] {
+			addSuccessor(func(state *modelState) { state.snapshotIndex[i] = state.appliedCount[i] }) // the node restarts from its snapshot
 		}
 	}
-	if int(w.snapshotIndex[modelNodes]) != len(w.log) {
-		addSuccessor(func(w *modelState) { w.snapshotIndex[modelNodes] = int8(len(w.log)) })
+	if int(state.snapshotIndex[modelNodes]) != len(state.log) {
+		addSuccessor(func(state *modelState) { state.snapshotIndex[modelNodes] = int8(len(state.log)) })
 	}
 	return all
 }
@@ -151,17 +152,17 @@
 func exploreStates(knobs TestingKnobs, maxStates int) (stateCount int, violation string) {
 	m := &model{knobs: knobs, registers: map[string]*Register{}}
 	initial := modelState{}
-	for o, d := range modelCalls {
-		initial.remainingSends[o] = d.copies
+	for callIndex, call := range modelCalls {
+		initial.remainingSends[callIndex] = call.copies
 	}
 	visited, queue := map[modelState]bool{initial: true}, []modelState{initial}
 	for len(queue) > 0 && len(visited) < maxStates && m.violation == "" {
-		w := queue[0]
+		state := queue[0]
 		queue = queue[1:]
-		for _, n := range m.successors(w) {
-			if !visited[n] {
-				visited[n] = true
-				queue = append(queue, n)
+		for _, successor := range m.successors(state) {
+			if !visited[successor] {
+				visited[successor] = true
+				queue = append(queue, successor)
 			}
 		}
 	}
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -240,12 +240,12 @@
 // a snapshot. Repeats of these calls must be duplicates, and calls whose digests may have been dropped must not be rejected.
 func TestRestoreLegacySnapshot(t *testing.T) {
 	emptyConfig := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
-	for _, x := range []struct {
+	for _, testCase := range []struct {
 		versions int
 		want     Result // of a call whose digest is not in the snapshot
 	}{{200, Conflict}, {300, Ambiguous}} {
-		legacy := snapshot{Body: emptyConfig(x.versions)}
-		for v := max(1, x.versions-legacyAcceptedCount+1); v <= x.versions; v++ {
+		legacy := snapshot{Body: emptyConfig(testCase.versions)}
+		for v := max(1, testCase.versions-legacyAcceptedCount+1); v <= testCase.versions; v++ {
 			legacy.Taken = append(legacy.Taken, taken{uint64(v), sha256.Sum256(append([]byte{byte(Replace)}, emptyConfig(v)...))})
 		}
 		r, err := Restore(logentry.Encode(legacy))
@@ -256,11 +256,11 @@
 				must.Eq(t, Duplicate, v)
 			}
 			v, _ := r.Decide(Amend, emptyConfig(9))
-			must.Eq(t, x.want, v)
+			must.Eq(t, testCase.want, v)
 			r, err = Restore(r.Snapshot())
 			must.NoError(t, err)
 		}
-		v, _ := r.Apply(Replace, emptyConfig(x.versions+1))
+		v, _ := r.Apply(Replace, emptyConfig(testCase.versions+1))
 		must.Eq(t, Accepted, v)
 	}
 }
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -159,11 +159,11 @@
 
 // Guards against changes that a running process ignores without a report that a restart is required.
 func TestChangedRestartFields(t *testing.T) {
-	a, err := Parse([]byte(exampleFile))
+	original, err := Parse([]byte(exampleFile))
 	must.NoError(t, err)
 	changed := strings.NewReplacer("7575", "7580", "drain=2s", "drain=3s", "8384", "8385").Replace(exampleFile)
-	b, err := Parse([]byte(changed))
+	reloaded, err := Parse([]byte(changed))
 	must.NoError(t, err)
-	must.Eq(t, []string{"bind.readiness", "inner_port_range"}, a.ChangedRestartFields(b))
-	must.SliceEmpty(t, a.ChangedRestartFields(a))
+	must.Eq(t, []string{"bind.readiness", "inner_port_range"}, original.ChangedRestartFields(reloaded))
+	must.SliceEmpty(t, original.ChangedRestartFields(original))
 }
