--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -74,7 +74,7 @@
 	return meaning
 }
 
-// hasValidSeal reports whether a response has an X-Backend-Seal header and no content encoding. An encoding shows that
+// hasSealWithoutEncoding reports whether a response has an X-Backend-Seal header and no content encoding. An encoding shows that
 // an intermediary may have changed the body after the backend sealed the response.
 func hasSealWithoutEncoding(head *http1.Reader, message []byte) bool {
 	seal, _ := head.Get(message, "x-backend-seal")
--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -20,7 +20,7 @@
 // move a route to another host.
 //
 // Lists of named items in unknown fields are merged by name as well. A field of upserts that is not a list replaces the field of the
-// same name. From the other fields of the change, only generation and parent_version are copied into the result.
+// same name. Besides removals and upserts, the change only sets generation and parent_version of the result.
 func mergeChange(base, change []byte) ([]byte, error) {
 	config := object{}
 	if base != nil {
@@ -77,7 +77,8 @@
 	}
 }
 
-// applyUpsert applies one field of upserts.
+// applyUpsert applies one field of upserts to the configuration. A null value changes nothing. The items of a list are added or replaced
+// by name, and the routes of a host as well. Any other value replaces the field of the configuration.
 func applyUpsert(config *object, upsert objectField) {
 	value := bytes.TrimSpace(upsert.value)
 	switch {
@@ -132,13 +133,15 @@
 	return encodeItems(hosts)
 }
 
-// hasRoutes reports whether a host has at least one route.
+// hasRoutes reports whether a host has at least one route. It returns false for a host that is not a JSON object.
 func hasRoutes(host json.RawMessage) bool {
 	fields, err := readObject(host)
 	return err == nil && len(readItems(fields.get(fieldRoutes), fieldName)) > 0
 }
 
-// putHostRoutes appends a host. If the host exists, its routes are added or replaced by name, and its other fields are overwritten.
+// putHostRoutes adds the given host to hosts. If hosts has no host of this name, the given host is appended. If hosts has a host of this
+// name, the routes of the given host are added or replaced by name, and the other fields of the given host overwrite the existing fields.
+// If one of the two hosts is not a JSON object, the given host replaces the existing host.
 func putHostRoutes(hosts []namedItem, host namedItem) []namedItem {
 	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == host.name })
 	if i < 0 {
--- a/internal/gateway/routing/model_test.go
+++ b/internal/gateway/routing/model_test.go
@@ -10,8 +10,10 @@
 	"clovergap/internal/gateway/logentry"
 )
 
-// modelCalls are the calls of the operators in the model: two different calls of the same generation, an Amend of their result, a
-// Replace with the result of the Amend as its parent, and a call that is invalid in every state. Each call is sent at most copies times.
+// modelCalls are the calls that the operators send in the model. The parent of a call is the configuration version that the call
+// replaces or amends. The first two calls differ but have the same generation, 5. The third call is an Amend with parent 5. The fourth
+// call is a Replace whose parent is the result of the Amend. The fifth call is invalid in every state, since its generation is not above
+// its parent. Each call is sent at most copies times.
 var modelCalls = []struct {
 	kind               Kind
 	generation, parent uint64
@@ -31,14 +33,14 @@
 )
 
 // modelState is a state of the model: the replicated log, the part of the log that each node has applied, and the calls that were
-// rejected. Calls are numbered by their index in modelCalls.
+// rejected. Calls are numbered by their index in modelCalls. A call in rejected must never be accepted later.
 type modelState struct {
 	log            string               // committed entries; each rune is the index of a call
 	pending        string               // proposed entries, neither committed nor lost
 	remainingSends [8]int8              // copies of each call that may still be sent
 	appliedCount   [modelNodes]int8     // log entries that each node has applied
-	snapshotIndex  [modelNodes + 1]int8 // log length of the last restored snapshot, by node; the leader is last
-	rejected       [8]bool              // calls that must not be accepted later: rejected when their parent was at or below the current version
+	snapshotIndex  [modelNodes + 1]int8 // log length at the last snapshot that each node restored; the leader is last
+	rejected       [8]bool              // calls that were rejected when their parent version was at or below the current version
 }
 
 // model computes the successors of states and checks each answer against referenceState, which keeps all accepted calls.
@@ -84,15 +86,15 @@
 	index, call := slices.Index(accepted, callIndex), modelCalls[callIndex]
 	switch {
 	case (result == Accepted || result == Duplicate) && index < 0:
-		m.violation = "call was confirmed but not accepted"
+		m.violation = "call that was never accepted was answered with Accepted or Duplicate"
 	case result != Accepted && result != Duplicate && index >= len(accepted)-modelWindow && index >= 0:
-		m.violation = "recently accepted call was not confirmed"
+		m.violation = "one of the last accepted calls was answered with neither Accepted nor Duplicate"
 	case (result == Conflict || result == Invalid) && index >= 0:
-		m.violation = "accepted call was rejected"
+		m.violation = "accepted call was answered with Conflict or Invalid"
 	case (result == Conflict || result == Invalid) && call.parent == version && call.generation > version:
-		m.violation = "call valid in the newest state was rejected"
+		m.violation = "call that is valid in the newest state was answered with Conflict or Invalid"
 	case result == Ambiguous && (len(accepted) <= modelWindow || call.generation > modelCalls[accepted[len(accepted)-modelWindow-1]].generation):
-		m.violation = "call above the horizon was ambiguous"
+		m.violation = "call above the horizon was answered with Ambiguous"
 	case result == Conflict || result == Invalid:
 		state.rejected[callIndex] = state.rejected[callIndex] || call.parent <= version
 	}
@@ -171,7 +173,7 @@
 
 // Guards against lost and duplicate configuration changes. The model sends copies of calls in every order through nodes that lag behind,
 // and loses leaders and restores snapshots in between. One of two calls with the same generation is accepted, an accepted call is
-// confirmed or ambiguous, and a rejected call is never accepted later.
+// answered with Accepted, Duplicate or Ambiguous, and a rejected call is never accepted later.
 func TestModelOfConfigurationCalls(t *testing.T) {
 	stateCount, violation := exploreStates(TestingKnobs{}, 150_000)
 	must.Eq(t, "", violation)
--- a/internal/gateway/routing/object.go
+++ b/internal/gateway/routing/object.go
@@ -29,8 +29,8 @@
 	return o, nil
 }
 
-// fieldIndex returns the index of a field, -1 if there is none. It ignores case as encoding/json does. Otherwise the parsed
-// configuration could differ from the stored JSON.
+// fieldIndex returns the index of a field, -1 if there is none. It ignores case, as encoding/json does when the
+// configuration is parsed. A comparison with case could make the stored JSON differ from the parsed configuration.
 func (o object) fieldIndex(name string) int {
 	return slices.IndexFunc(o, func(e objectField) bool { return strings.EqualFold(e.name, name) })
 }
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -8,7 +8,7 @@
 	"clovergap/internal/invariant"
 )
 
-// Kind is the kind of a call that changes the configuration.
+// Kind is the kind of a call. A call is a request of an operator to change the configuration.
 type Kind int
 
 // The kinds of calls.
@@ -24,9 +24,9 @@
 const (
 	Accepted  Result = iota // 200: the call is accepted, and its configuration comes into force
 	Duplicate               // 200: a call with the same bytes was accepted before
-	Conflict                // 412: the parent is not the version in force
+	Conflict                // 412: the parent version that the call names is not the version in force
 	Invalid                 // 400: the call is malformed or breaks a rule
-	Ambiguous               // 503: the call may have been accepted, but its digest would no longer be in the window
+	Ambiguous               // 503: the call may have been accepted earlier, but the digests of its generation are no longer stored
 )
 
 // String returns the name of the result in log lines.
@@ -43,10 +43,11 @@
 	version  uint64
 	body     []byte
 	config   *Config
-	accepted *logentry.DedupWindow // digests of accepted calls, by version
+	accepted *logentry.DedupWindow // the window of accepted calls: the digests of the last accepted calls, by version
 
-	// The digest and the decision of the last call decided since the register changed. A node decides a call and then applies it, so
-	// that Apply can reuse the decision. lastDecision is nil if no call was decided since then.
+	// lastDigest is the digest of the call that was decided last, and lastDecision is the decision on this call. A node decides a call
+	// before it applies the call, so Apply can reuse the decision. lastDecision is nil if no call was decided since the last change of
+	// the register.
 	lastDigest   logentry.Digest
 	lastDecision *decision
 
@@ -57,7 +58,7 @@
 type decision struct {
 	result Result
 	err    error
-	final  bool    // every later state gives the same result
+	final  bool    // every later state of the register gives the same result
 	body   []byte  // the complete configuration as JSON; nil unless the call is accepted
 	config *Config // the parsed body; nil unless the call is accepted
 }
@@ -74,15 +75,15 @@
 	return d.result, d.err
 }
 
-// DecideFinal returns the same as Decide, and whether every later state gives the same result. A node that lags behind the replicated
-// log may answer a call from its own state only if the result is final.
+// DecideFinal returns the result and the error of Decide. The result is final if every later state of the register gives the same
+// result. A node whose register lags behind the replicated log may answer a call from this register only if the result is final.
 func (r *Register) DecideFinal(k Kind, body []byte) (result Result, err error, final bool) {
 	d := r.cachedDecision(callDigest(k, body), k, body)
 	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
 
-// Apply decides a call and puts its configuration into force if the call is accepted. It returns the same as Decide. The body is
-// copied.
+// Apply decides a call and puts its configuration into force if the call is accepted. Apply returns the
+// result and the error that Decide would have returned. Apply copies the body.
 func (r *Register) Apply(k Kind, body []byte) (Result, error) {
 	digest := callDigest(k, body)
 	d := r.cachedDecision(digest, k, body)
@@ -96,7 +97,8 @@
 	return Accepted, nil
 }
 
-// cachedDecision returns lastDecision if it is about the same call. Otherwise it evaluates the call and stores the decision.
+// cachedDecision returns the decision on a call. If lastDecision is the decision on the same call, cachedDecision returns lastDecision.
+// If not, cachedDecision evaluates the call and stores the new decision.
 func (r *Register) cachedDecision(digest logentry.Digest, k Kind, body []byte) *decision {
 	if r.lastDecision == nil || r.lastDigest != digest {
 		d := r.evaluateCall(digest, k, body)
@@ -107,7 +109,8 @@
 
 // evaluateCall returns the decision on a call in the current state.
 func (r *Register) evaluateCall(d logentry.Digest, k Kind, body []byte) decision {
-	// A digest in the window identifies one accepted call, since the digest covers the generation that the body names.
+	// The window of accepted calls has the digest, so a call with the same kind and the same bytes was accepted. The bytes contain the
+	// generation, and each generation is accepted at most once. This call therefore repeats the accepted call.
 	if r.accepted.Has(d) {
 		return decision{result: Duplicate, final: true}
 	}
@@ -137,9 +140,10 @@
 	return decision{result: Accepted, body: complete, config: config}
 }
 
-// checkHorizon returns a *FieldError if the generation of a call is at or below the horizon, since the call may have been accepted.
-// Such a call is not validated, since this program version may reject more than the version that accepted the call. A body whose
-// generation cannot be read passes this check.
+// checkHorizon returns a *FieldError if the generation of a call is at or below the horizon. The horizon is the highest version whose
+// digest was dropped from the window of accepted calls. A call at or below the horizon may repeat an accepted call whose digest was
+// dropped. Such a call is not validated: an earlier program version may have accepted the call, and this version may have stricter
+// validation. A body whose generation cannot be read passes this check.
 func (r *Register) checkHorizon(body []byte) error {
 	horizon := r.accepted.Horizon()
 	if horizon == 0 || r.knobs.ignoreHorizon() {
@@ -149,7 +153,8 @@
 	if json.Unmarshal(body, &call); call.Generation == 0 || call.Generation > horizon {
 		return nil
 	}
-	return fieldError("generation", "is %d; calls of generation %d and below may have been accepted: read the configuration in force",
+	return fieldError("generation",
+		"is %d; the call was not applied now, but calls of generation %d and below may have been accepted earlier: read the configuration in force",
 		call.Generation, horizon)
 }
 
@@ -190,8 +195,8 @@
 	return nil
 }
 
-// mergeAmendment returns the complete configuration that results from an Amend, as JSON and parsed. The configuration is not
-// validated.
+// mergeAmendment returns the complete configuration that results from an Amend, both as JSON and in parsed form.
+// mergeAmendment does not validate the configuration.
 func (r *Register) mergeAmendment(body []byte) ([]byte, *Config, error) {
 	complete, err := mergeChange(r.body, body)
 	if err != nil {
@@ -204,7 +209,7 @@
 	return complete, config, nil
 }
 
-// Version returns the generation of the configuration in force, 0 if there is none.
+// Version returns the generation of the configuration in force, or 0 if there is none.
 func (r *Register) Version() uint64 { return r.version }
 
 // Body returns the complete configuration in force as JSON, for the call Config.Read. After a Replace it is the body of the call,
@@ -212,5 +217,5 @@
 // if there is no configuration. Callers must not modify the result.
 func (r *Register) Body() []byte { return r.body }
 
-// Config returns the parsed configuration in force, nil if there is none. Callers must not modify the result.
+// Config returns the parsed configuration in force, or nil if there is none. Callers must not modify the result.
 func (r *Register) Config() *Config { return r.config }
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -187,8 +187,8 @@
 	must.Eq(t, Invalid, decideAndApply(Replace, emptyConfig(7, 7)))
 	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 5)))
 	must.Eq(t, Accepted, decideAndApply(Amend, emptyConfig(9, 7)))
-	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(11, 7)))       // another call with this parent was accepted
-	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 7)))      // the same body, but Replace instead of Amend
+	must.Eq(t, Conflict, decideAndApply(Amend, emptyConfig(11, 7)))       // the accepted call of generation 9 has the same parent, 7
+	must.Eq(t, Conflict, decideAndApply(Replace, emptyConfig(9, 7)))      // the body of the accepted Amend, sent as a Replace
 	must.Eq(t, Duplicate, decideAndApply(Amend, emptyConfig(9, 7)))       // a repeated call
 	must.Eq(t, Duplicate, decideAndApply(Replace, []byte(exampleConfig))) // a call repeated after later changes
 	must.Eq(t, 9, r.Version())
@@ -201,7 +201,7 @@
 	}
 	must.LessEq(t, 8010-4096, r.accepted.Horizon())
 	must.LessEq(t, logentry.DedupWindowBytes+10, len(r.accepted.Bytes()))
-	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(exampleConfig))) // its digest was dropped from the window
+	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(exampleConfig))) // the window of accepted calls no longer has the digest of exampleConfig
 	must.Eq(t, Ambiguous, decideAndApply(Replace, []byte(`{"generation":8,"vhosts":3}`)))
 	must.Eq(t, Invalid, decideAndApply(Replace, []byte("{")))
 	horizon := int(r.accepted.Horizon())
@@ -241,8 +241,8 @@
 func TestRestoreLegacySnapshot(t *testing.T) {
 	emptyConfig := func(v int) []byte { return []byte(fmt.Sprintf(`{"generation":%d,"parent_version":%d}`, v, v-1)) }
 	for _, testCase := range []struct {
-		versions int
-		want     Result // of a call whose digest is not in the snapshot
+		versions int    // number of calls that were accepted before the snapshot
+		want     Result // result of a call whose digest is not in the snapshot
 	}{{200, Conflict}, {300, Ambiguous}} {
 		legacy := snapshot{Body: emptyConfig(testCase.versions)}
 		for v := max(1, testCase.versions-legacyAcceptedCount+1); v <= testCase.versions; v++ {
--- a/internal/gateway/routing/stored.go
+++ b/internal/gateway/routing/stored.go
@@ -13,8 +13,8 @@
 // change.
 type snapshot struct {
 	Body   []byte  // the complete configuration in force, empty if there is none
-	Taken  []taken // the last accepted calls; only in snapshots of program versions that had no window
-	Window []byte  // the window of accepted calls; nil in snapshots of program versions that had no window
+	Taken  []taken // the last accepted calls; only in snapshots of program versions without a window of accepted calls
+	Window []byte  // the window of accepted calls; nil in snapshots of program versions without this window
 }
 
 // taken is an accepted call in a snapshot of a program version that had no window of accepted calls.
@@ -23,8 +23,8 @@
 	Digest  [sha256.Size]byte
 }
 
-// legacyAcceptedCount is the number of accepted calls that program versions without a window kept. If a snapshot has this many, earlier
-// calls may have been dropped.
+// legacyAcceptedCount is the number of accepted calls that program versions without a window kept. A snapshot
+// with this many calls may lack earlier accepted calls.
 const legacyAcceptedCount = 256
 
 // Snapshot returns the register, encoded by gob. Within one process, equal registers have equal snapshots.
--- a/internal/gateway/routing/table.go
+++ b/internal/gateway/routing/table.go
@@ -36,8 +36,8 @@
 	Name          string
 	Host          string // host name in lower case
 	Prefix        string
-	Effectful     bool          // not idempotent: may be executed at most once for each attempt of a client
-	Deadline      time.Duration // of a request, measured from its arrival
+	Effectful     bool          // requests are not idempotent: each may be executed at most once for each attempt of a client
+	Deadline      time.Duration // maximum time from the arrival of a request to the response
 	LatencyTarget time.Duration // latency objective of a response; Deadline if the configuration omits it
 	Priority      int           // 0 is the highest priority
 	MaxAttempts   int           // maximum number of backends that a request is sent to, at least 1
@@ -120,7 +120,7 @@
 	return t
 }
 
-// addService adds a service. If a service of this name exists, the existing service stays.
+// addService adds a service. If the table already has a service of this name, addService changes nothing.
 func (t *Table) addService(c *ConfigService) {
 	if t.services[c.Name] != nil {
 		return
@@ -134,7 +134,7 @@
 	}
 }
 
-// addTenant adds a tenant and its API keys. A key of an earlier tenant stays with the earlier tenant.
+// addTenant adds a tenant and its API keys. If an earlier tenant has the same key, the key stays with the earlier tenant.
 func (t *Table) addTenant(c *ConfigTenant) {
 	tenant := &Tenant{
 		Name:     c.Name,
@@ -150,7 +150,8 @@
 	}
 }
 
-// addHost adds the routes of a host. A configuration may contain the same host several times.
+// addHost adds the routes of a host. A configuration may contain the same host several times; of several routes
+// with the same prefix, the first is used.
 func (t *Table) addHost(c *ConfigHost) {
 	name := strings.ToLower(c.Hostname)
 	h := t.hosts[name]
--- a/internal/gateway/settings/bounds.go
+++ b/internal/gateway/settings/bounds.go
@@ -21,8 +21,8 @@
 	SeedStale time.Duration `bound:"seed_stale"`
 	// AddrReuse is the minimum time between the end of a backend and the use of its address by another backend. Default 2s.
 	AddrReuse time.Duration `bound:"addr_reuse"`
-	// InTouch is the time after its last fault from which a machine counts as in touch again and must meet the other bounds. The gateway
-	// also uses InTouch as the age of the last quorum contact from which a node accepts no clients. Default 3s.
+	// InTouch is the time after its last fault from which a machine counts as in touch again and must meet the other bounds. A node
+	// whose last quorum contact is at least InTouch old accepts no clients (see ReadyMaxAge). Default 3s.
 	InTouch time.Duration `bound:"in_touch"`
 	// AckWithin is the maximum time until a control call is acknowledged. Default 5s.
 	AckWithin time.Duration `bound:"ack_within"`
@@ -98,18 +98,19 @@
 	}
 }
 
-// ReadyMaxAge returns the age of the last quorum contact from which a node accepts no clients. It equals InTouch: a machine without a fault
-// counts as in touch InTouch after the last event, and has had newer quorum contact by that time.
+// ReadyMaxAge returns the age of a node's last quorum contact from which the node accepts no clients. Quorum contact is
+// the last time when a majority of the replicas is known to have followed the leader. The age equals InTouch: a machine counts as in touch
+// once InTouch has passed since its last fault, and has had newer quorum contact by then.
 func (b Bounds) ReadyMaxAge() time.Duration { return b.InTouch }
 
-// AuthoritativeMaxAge returns the age of the last quorum contact up to which a node answers 401, 404 and 400 from its own state. A
-// configuration change that the node may lack must be in force within ApplyWithin. The result is a twenty-fifth shorter than ApplyWithin,
-// which leaves this time for the transmission of the response.
+// AuthoritativeMaxAge returns the age of a node's last quorum contact up to which the node answers 401, 404 and 400 from its own
+// configuration. The node may lack a configuration change that was acknowledged after the last quorum contact, and must use this change
+// within ApplyWithin. The result is 1/25 of ApplyWithin shorter than ApplyWithin. The difference is left for the transmission of the response.
 func (b Bounds) AuthoritativeMaxAge() time.Duration { return b.ApplyWithin - b.ApplyWithin/25 }
 
-// PartitionedAge returns the age of the last quorum contact from which a node considers itself partitioned, and from which a caller should
-// use another node instead of waiting. The age is half of InTouch. It is longer than an ordinary election, which takes 0.4 to 0.8 s without
-// a leader, a few disk syncs, and the return of a heartbeat.
+// PartitionedAge returns the age of a node's last quorum contact from which the node considers itself partitioned. A caller should then use
+// another node instead of waiting. The age is half of InTouch. An ordinary election takes less time than this age: 0.4 to 0.8 s without a
+// leader, a few disk syncs, and the return of a heartbeat.
 func (b Bounds) PartitionedAge() time.Duration { return b.InTouch / 2 }
 
 // setFromTexts sets bounds from texts of the form name=value. Unknown names are ignored. The error combines a FieldError for each invalid
@@ -123,7 +124,7 @@
 	for _, text := range texts {
 		name, value, ok := strings.Cut(text, "=")
 		if !ok {
-			err = multierr.Append(err, fieldError("bounds", errors.Errorf("%q is not name=value", text)))
+			err = multierr.Append(err, fieldError("bounds", errors.Errorf("%q does not have the form name=value", text)))
 			continue
 		}
 		name = strings.TrimSpace(name)
@@ -162,8 +163,8 @@
 	maxDurationNumber = 1e9 // in the unit of the duration, ms or s
 )
 
-// errOutOfRange is the error for a number that is negative, too large or NaN.
-var errOutOfRange = errors.New("out of range")
+// errOutOfRange is the error for a number that is negative, not below the upper limit, or NaN.
+var errOutOfRange = errors.New("number is negative, not below the upper limit, or NaN")
 
 // parseNumber parses a number that must be at least 0 and below a bound.
 func parseNumber(text string, bound float64) (float64, error) {
--- a/internal/gateway/settings/parse.go
+++ b/internal/gateway/settings/parse.go
@@ -63,8 +63,8 @@
 }
 
 // Parse parses and validates the text of a settings file. Unknown fields are ignored. The error wraps ErrNotYAML, is ErrEmpty, or is a
-// FieldError for the first field with a value of the wrong type. Otherwise the error combines a FieldError for each invalid field (see
-// multierr.Errors).
+// FieldError for the first field with a value of the wrong type. In all other cases the error combines a FieldError for each
+// invalid field (see multierr.Errors).
 func Parse(text []byte) (*Settings, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
