--- a/internal/gateway/ingress/dialect.go
+++ b/internal/gateway/ingress/dialect.go
@@ -26,8 +26,8 @@
 // NewDialect returns a Dialect. The Dialect only calls the method BackendReplaced of catalog.
 func NewDialect(catalog Catalog) *Dialect { return &Dialect{catalog} }
 
-// Wary returns true because a backend may start to run a request as soon as the backend has received any byte of the
-// request.
+// Wary returns true: a request whose bytes were partly sent is treated as a request that may have run. A backend may start
+// to run a request as soon as the backend has received any byte of the request.
 func (*Dialect) Wary() bool { return true }
 
 // Read returns the meaning of a response for the request that was sent on the connection. Only the X-Not-Run header and
@@ -35,7 +35,7 @@
 func (d *Dialect) Read(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
 	id, repeated := head.Get(message, "x-attempt-id")
 	if len(id) == 0 || repeated {
-		return upstream.Meaning{Ending: control.ConnectionLost} // backends always send exactly one ID
+		return upstream.Meaning{Ending: control.ConnectionLost} // a valid response has exactly one X-Attempt-Id header
 	}
 	if string(id) != carried.ID {
 		return upstream.Meaning{Other: true}
@@ -51,7 +51,8 @@
 }
 
 // interpretStatus returns the meaning of the status and the headers of a response whose ID matches the request. Status
-// 421 means that a different backend than the expected one answered; the catalog is notified.
+// 421 means that a different backend answered than the backend to which the request was addressed. The catalog is then
+// notified.
 func (d *Dialect) interpretStatus(carried upstream.Request, head *http1.Reader, message []byte) upstream.Meaning {
 	meaning := upstream.Meaning{Ending: control.Errored}
 	notRun, _ := head.Get(message, "x-not-run")
--- a/internal/gateway/ingress/handler.go
+++ b/internal/gateway/ingress/handler.go
@@ -47,8 +47,9 @@
 	BackendReplaced(at control.BackendID)
 }
 
-// Clock gives the time of the present turn by Now. InputDelay returns the longest time that bytes read in the turn may
-// have waited in the socket because the process was paused.
+// Clock gives the time of the event loop. Now returns the time of the present turn, which is one iteration of the loop.
+// InputDelay returns the longest time that the bytes read in the present turn may have waited in a socket because the
+// process was paused.
 type Clock interface {
 	Now() time.Duration
 	InputDelay() time.Duration
@@ -77,7 +78,7 @@
 // requestState is the state of the request in flight on a client's connection.
 type requestState struct {
 	Admission
-	expiry          time.Duration // deadline on the clock of the event loop
+	expiry          time.Duration // time at which the deadline of the request passes, on the clock of the event loop
 	bodySent        bool          // a part of a streamed body was forwarded
 	bodyErr         error         // error in the framing of a streamed body; nil for none
 	chunkedResponse bool          // the response is sent with chunked transfer coding
@@ -93,7 +94,7 @@
 // Take admits or rejects a request. Take is called when the request is complete, or when the head is complete if the body
 // is streamed.
 func (h *Handler) Take(c *downstream.Client) {
-	// If the bytes after a message can't start another message, the length of the message was wrong.
+	// If the bytes after the request can't be the start of another request, the declared length of the request was wrong.
 	if rest := c.Rest(); len(rest) > 0 && !http1.MayStart(rest) {
 		c.RejectUnreadable(http1.ErrFraming)
 		return
@@ -151,7 +152,7 @@
 	}
 }
 
-// reject counts a rejection and sends a response without a body. retryAfter is the value of the Retry-After header; 0
+// reject increments counter and sends a response without a body. retryAfter is the value of the Retry-After header; 0
 // means no header.
 func (h *Handler) reject(c *downstream.Client, id []byte, status int, counter counters.ID, retryAfter time.Duration) {
 	h.server.Count(counter)
@@ -178,7 +179,7 @@
 	return h.userBuffer, stateOf(c).Tenant
 }
 
-// Left notifies the gate that the client of a request has disconnected.
+// Left notifies the gate that the client of a request has disconnected. txn identifies the request.
 func (h *Handler) Left(txn slots.Ref) { h.gate.Left(txn) }
 
 // ID returns the X-Attempt-Id of a request while the request's client waits for the response.
--- a/internal/gateway/ingress/handler_test.go
+++ b/internal/gateway/ingress/handler_test.go
@@ -30,8 +30,8 @@
 // fails a request that may have run.
 type fakeModule struct {
 	decisions    []control.Decision
-	rejectReason control.Reason // if not 0, every request is rejected for this reason
-	expiry       map[control.TxnID]time.Duration
+	rejectReason control.Reason                  // if not 0, every request is rejected for this reason
+	expiry       map[control.TxnID]time.Duration // deadline of each request, on the clock of the event loop
 }
 
 func (f *fakeModule) Now(time.Duration) {}
@@ -70,7 +70,7 @@
 	return d, true
 }
 
-// clock is the event loop's clock for the gate. Its alarms wake wakeTarget, which is the gate.
+// clock is the event loop's clock for the gate. An alarm of the clock wakes wakeTarget, which is the gate.
 type clock struct {
 	*eventloop.Engine
 	wakeTarget eventloop.Alarm
@@ -102,7 +102,7 @@
 func (f *fakeCatalog) BackendName(control.BackendID) string { return "i-7" }
 func (f *fakeCatalog) BackendReplaced(at control.BackendID) { f.replaced = append(f.replaced, at) }
 
-// fixture is the data path of a node between a client and a backend whose responses the test scripts.
+// fixture is the data path of a node between a client and a backend. The test writes the backend's responses.
 type fixture struct {
 	t        *testing.T
 	engine   *eventloop.Engine
@@ -114,6 +114,7 @@
 	backend  *standin.Script
 }
 
+// newFixture starts a data path whose only backend has the ID 7. The end of the test stops the data path.
 func newFixture(t *testing.T) *fixture {
 	testNode := &fixture{t: t, engine: eventloop.New("", 1024, 512<<10, 64<<20), catalog: &fakeCatalog{},
 		module: &fakeModule{expiry: map[control.TxnID]time.Duration{}}}
@@ -137,6 +138,7 @@
 	return testNode
 }
 
+// client is a connection of a client to the node.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -171,22 +173,27 @@
 	return body
 }
 
+// expectEOF checks that the node has closed the connection.
 func (c *client) expectEOF() {
 	c.t.Helper()
 	_, err := c.reader.ReadByte()
 	must.ErrorIs(c.t, err, io.EOF)
 }
 
+// counterValue returns the value of a counter of the node.
 func (f *fixture) counterValue(id counters.ID) (n uint64) {
 	f.engine.Turn(func() { n = f.engine.Count[id] })
 	return n
 }
 
+// requestText returns the head of a request with the API key k1. more holds additional header lines, each with its line end.
 func requestText(method, path, id, more string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: Lots.example:80\r\nX-Attempt-Id: " + id +
 		"\r\nAuthorization: Token k1\r\n" + more + "\r\n"
 }
 
+// okResponseText returns a sealed response of a backend with status 200. more holds additional header lines, each with its
+// line end.
 func okResponseText(id, more, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 Fine\r\nX-Attempt-Id: %s\r\nX-Backend-Seal: s1\r\n%sContent-Length: %d\r\n\r\n%s",
 		id, more, len(body), body)
@@ -328,7 +335,7 @@
 					if status == "204 Empty" {
 						text = strings.Replace(text, "Content-Length: 2\r\n\r\nno", "\r\n", 1)
 					}
-					if cut { // the last byte of the response is missing
+					if cut { // the backend omits the last byte of the response
 						call.Answer(text[:len(text)-1])
 						call.Conn.Close()
 					} else {
--- a/internal/gateway/ingress/request.go
+++ b/internal/gateway/ingress/request.go
@@ -16,7 +16,7 @@
 	host     []byte        // as the client sent it, with any port
 	path     []byte        // without the query
 	key      []byte        // API key; nil for none
-	deadline time.Duration // time that the client waits; 0 if the client sent no deadline
+	deadline time.Duration // time that the client waits for the response; 0 if the client sent no X-Deadline-Ms header
 }
 
 // requestProblem is the reason why a request is answered with 400. The zero value means that the request is valid.
--- a/internal/gateway/ingress/streaming_test.go
+++ b/internal/gateway/ingress/streaming_test.go
@@ -82,7 +82,7 @@
 		must.NoError(t, err)
 		must.Eq(t, "huka", req.Header.Get("X-Tenant"))
 		must.Eq(t, chunked, req.ContentLength < 0)
-		yieldProcessor() // lets all ring buffers fill up
+		yieldProcessor() // the ring buffers of the node may fill up in this time
 		got, err := io.ReadAll(req.Body)
 		must.NoError(t, err)
 		must.True(t, bytes.Equal(body, got))
@@ -163,7 +163,7 @@
 		c := testNode.dial()
 		c.send(requestText("GET", "/pure/", "c", ""))
 		r, conn := next()
-		http.ReadRequest(r) // closing a connection with unread bytes would reset it
+		http.ReadRequest(r) // with unread bytes, Close would reset the connection instead of ending it
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: c\r\nX-Backend-Seal: s\r\n%s\r\n%s", head, sent[:len(sent)-50])
 		conn.Close()
 		response, err := http.ReadResponse(c.reader, nil)
@@ -174,7 +174,7 @@
 	must.Eq(t, 2, testNode.counterValue(counters.Truncated))
 	for i, testCase := range []struct {
 		answer string // response of the backend before the request body is complete
-		rest   string // bytes that the client sends after a complete chunk; used in the first case only
+		rest   string // bytes that the client sends after a complete chunk; sent in the first case only
 		line   string // status line that the client gets
 	}{
 		{"", "zz\r\n", "400 Bad Request"}, // invalid chunk size
@@ -192,7 +192,7 @@
 		io.ReadFull(request.Body, make([]byte, 1<<18))
 		io.WriteString(conn, testCase.answer)
 		if i == 0 {
-			// The data completes the present chunk, so that the bytes of testCase.rest are parsed as the next chunk size.
+			// These bytes complete the chunk that was sent in part, so the bytes of testCase.rest are parsed as the size of the next chunk.
 			c.send(strings.Repeat("x", 70000) + "\r\n" + testCase.rest)
 		}
 		c.expectResponse("HTTP/1.1 "+testCase.line, "Connection: close")
--- a/internal/gateway/routing/doc.go
+++ b/internal/gateway/routing/doc.go
@@ -32,7 +32,7 @@
 // # What the package must not do
 //
 // The package does no I/O, reads no clock and uses no random numbers. Members with different program versions must apply an
-// entry of the log alike. A check that earlier program versions lack therefore runs before a call is proposed, not when the
+// entry of the log with the same result. A check that earlier program versions lack therefore runs before a call is proposed, not when the
 // entry is applied. CheckDeadlines is such a check.
 package routing
 
--- a/internal/gateway/routing/register.go
+++ b/internal/gateway/routing/register.go
@@ -82,8 +82,8 @@
 	return d.result, d.err, d.final || r.knobs.trustStaleRejections() && d.result != Accepted
 }
 
-// Apply decides a call and puts its configuration into force if the call is accepted. Apply returns the
-// result and the error that Decide would have returned. Apply copies the body.
+// Apply decides a call and puts its configuration into force if the call is accepted. Apply returns the result
+// and the error that Decide would have returned. Apply copies the body.
 func (r *Register) Apply(k Kind, body []byte) (Result, error) {
 	digest := callDigest(k, body)
 	d := r.cachedDecision(digest, k, body)
--- a/internal/gateway/settings/parse.go
+++ b/internal/gateway/settings/parse.go
@@ -31,7 +31,7 @@
 // Error returns the name of the field and the reason.
 func (f *FieldError) Error() string { return f.Field + ": " + f.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason why the value is invalid.
 func (f *FieldError) Unwrap() error { return f.Err }
 
 // fieldError returns a FieldError for a field, or nil if err is nil.
@@ -56,7 +56,7 @@
 		return nil, errors.Wrap(err, "settings")
 	}
 	s, err := Parse(text)
-	if err != nil { // errors.Wrap returns an error even for nil
+	if err != nil { // errors.Wrap would return an error even if err is nil
 		return nil, errors.Wrap(err, "settings "+path)
 	}
 	return s, nil
