--- a/internal/gateway/routing/merge.go
+++ b/internal/gateway/routing/merge.go
@@ -20,7 +20,7 @@
 // move a route to another host.
 //
 // Lists of named items in unknown fields are merged by name as well. A field of upserts that is not a list replaces the field of the
-// same name. From the other fields of the change, only generation and parent_version are copied into the result.
+// same name. Besides removals and upserts, the change only sets generation and parent_version of the result.
 func mergeChange(base, change []byte) ([]byte, error) {
 	config := object{}
 	if base != nil {
@@ -36,11 +36,11 @@
 	removals, _ := readObject(call.get("removals")) // a null or omitted field has no entries
 	upserts, _ := readObject(call.get("upserts"))
 	emptied := map[string]bool{}
-	for _, e := range removals {
-		applyRemoval(&config, e, emptied)
+	for _, field := range removals {
+		applyRemoval(&config, field, emptied)
 	}
-	for _, e := range upserts {
-		applyUpsert(&config, e)
+	for _, field := range upserts {
+		applyUpsert(&config, field)
 	}
 	removeEmptiedHosts(&config, emptied)
 	config.set("generation", call.get("generation"))
@@ -77,25 +77,26 @@
 	}
 }
 
-// applyUpsert applies one field of upserts.
-func applyUpsert(config *object, e objectField) {
-	value := bytes.TrimSpace(e.value)
+// applyUpsert applies one field of upserts to the configuration. A null value changes nothing. The items of a list are added or replaced
+// by name, and the routes of a host as well. Any other value replaces the field of the configuration.
+func applyUpsert(config *object, upsert objectField) {
+	value := bytes.TrimSpace(upsert.value)
 	switch {
 	case bytes.Equal(value, []byte("null")):
-	case strings.EqualFold(e.name, fieldHosts):
+	case strings.EqualFold(upsert.name, fieldHosts):
 		hosts := readItems(config.get(fieldHosts), fieldHostname)
 		for _, host := range readItems(value, fieldHostname) {
 			hosts = putHostRoutes(hosts, host)
 		}
 		config.set(fieldHosts, encodeItems(hosts))
 	case value[0] == '[':
-		items := readItems(config.get(e.name), fieldName)
+		items := readItems(config.get(upsert.name), fieldName)
 		for _, it := range readItems(value, fieldName) {
 			items = putItem(items, it)
 		}
-		config.set(e.name, encodeItems(items))
+		config.set(upsert.name, encodeItems(items))
 	default:
-		config.set(e.name, value)
+		config.set(upsert.name, value)
 	}
 }
 
@@ -132,22 +133,24 @@
 	return encodeItems(hosts)
 }
 
-// hasRoutes reports whether a host has at least one route.
+// hasRoutes reports whether a host has at least one route. It returns false for a host that is not a JSON object.
 func hasRoutes(host json.RawMessage) bool {
 	fields, err := readObject(host)
 	return err == nil && len(readItems(fields.get(fieldRoutes), fieldName)) > 0
 }
 
-// putHostRoutes appends a host. If the host exists, its routes are added or replaced by name, and its other fields are overwritten.
-func putHostRoutes(hosts []namedItem, it namedItem) []namedItem {
-	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == it.name })
+// putHostRoutes adds the given host to hosts. If hosts has no host of this name, the given host is appended. If hosts has a host of this
+// name, the routes of the given host are added or replaced by name, and the other fields of the given host overwrite the existing fields.
+// If one of the two hosts is not a JSON object, the given host replaces the existing host.
+func putHostRoutes(hosts []namedItem, host namedItem) []namedItem {
+	i := slices.IndexFunc(hosts, func(o namedItem) bool { return o.name == host.name })
 	if i < 0 {
-		return append(hosts, it)
+		return append(hosts, host)
 	}
 	current, err1 := readObject(hosts[i].raw)
-	added, err2 := readObject(it.raw)
+	added, err2 := readObject(host.raw)
 	if err1 != nil || err2 != nil {
-		hosts[i] = it
+		hosts[i] = host
 		return hosts
 	}
 	for _, e := range added {
