--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -148,11 +148,11 @@
 // deliverToNextLog delivers a message of one log to the recipient's replica of the next log.
 func (s *sharedDisk) deliverToNextLog(log, position int) {
 	m := s.logs[log].inflight[position]
-	other := s.logs[(log+1)%len(s.logs)]
-	for i, member := range other.members {
+	nextLog := s.logs[(log+1)%len(s.logs)]
+	for i, member := range nextLog.members {
 		if member.disk.ID == m.send.Recipient.ID {
 			member.replica.Step(m.from, m.send.Message)
-			other.drainActions(i)
+			nextLog.drainActions(i)
 		}
 	}
 }
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -293,7 +293,7 @@
 
 // newTwoClusters sets up two clusters. The first cluster has three members, of which only `last` runs. The disk of `last` has the bootstrap
 // and, if lastVoted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
-func newTwoClusters(planted mutation, lastVoted bool) (c *cluster, last, other *Replica) {
+func newClusterWithTwoMemberLists(planted mutation, lastMemberVoted bool) (c *cluster, lastMember, otherLeader *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
 	firstCluster := []Member{{8, "x"}, {9, "y"}, c.members[2].replica.self}
@@ -309,41 +309,41 @@
 		c.drainActions(i)
 	}
 	c.syncAndDeliverAll()
-	if last = c.members[2].replica; lastVoted {
-		last.Step(8, Message{Kind: MsgRequestVote, ClusterID: last.clusterID, Recipient: last.self.ID, Term: 2})
+	if lastMember = c.members[2].replica; lastMemberVoted {
+		lastMember.Step(8, Message{Kind: MsgRequestVote, ClusterID: lastMember.clusterID, Recipient: lastMember.self.ID, Term: 2})
 		c.drainActions(2)
 		c.syncAndDeliverAll()
 	}
 	c.members[3].replica.startElection()
 	c.drainActions(3)
 	c.syncAndDeliverAll()
-	other = c.members[3].replica
-	other.AddMember(last.self, 0)
+	otherLeader = c.members[3].replica
+	otherLeader.AddMember(lastMember.self, 0)
 	c.drainActions(3)
 	c.syncAndDeliverAll()
 	c.sendHeartbeat(3)
 	c.syncAndDeliverAll()
-	return c, last, other
+	return c, lastMember, otherLeader
 }
 
 // Guards against a disk that cannot join any cluster because it has the bootstrap of a cluster that no other disk joined. If the leader of
 // another cluster sends its snapshot, the disk must join that cluster, like an empty disk. If the disk has voted, it must not join: its
 // first cluster may have committed entries with that vote.
 func TestBootstrappedOnlyDiskJoinsAnotherCluster(t *testing.T) {
-	_, last, other := newTwoClusters(noMutation, false)
-	must.Eq(t, other.clusterID, last.clusterID)
-	must.Len(t, 3, last.Members())
-	must.True(t, last.isLatestConfigCommitted())
-	_, last, other = newTwoClusters(noMutation, true)
-	must.NotEq(t, other.clusterID, last.clusterID)
-	must.Eq(t, 2, last.term)
+	_, lastMember, otherLeader := newClusterWithTwoMemberLists(noMutation, false)
+	must.Eq(t, otherLeader.clusterID, lastMember.clusterID)
+	must.Len(t, 3, lastMember.Members())
+	must.True(t, lastMember.isLatestConfigCommitted())
+	_, lastMember, otherLeader = newClusterWithTwoMemberLists(noMutation, true)
+	must.NotEq(t, otherLeader.clusterID, lastMember.clusterID)
+	must.Eq(t, 2, lastMember.term)
 }
 
 // Guards against a disk that stays unusable after the other members of its bootstrap are permanently lost. DiscardBootstrap must erase the
 // bootstrap in memory and on disk, and the disk can then be bootstrapped again. If a disk has more than a bootstrap, DiscardBootstrap
 // must return false.
 func TestBootstrapIsDiscarded(t *testing.T) {
-	c, _, _ := newTwoClusters(noMutation, true)
+	c, _, _ := newClusterWithTwoMemberLists(noMutation, true)
 	must.False(t, c.members[2].replica.DiscardBootstrap())
 	c = newCluster(3, 1, noMutation, stepBudget{})
 	must.False(t, c.members[0].replica.DiscardBootstrap())
--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -125,7 +125,7 @@
 
 // Guards against walks that overlook faults in reads and outcomes with the configuration of a coordination group (GroupConfig).
 func TestWalksOfGroupsFindMutations(t *testing.T) {
-	requireMutationsDetected(t, runGroupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
+	requireMutationsDetected(t, runFaultWalkWithGroupConfig, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook wrong reports of quorum contact.
@@ -154,9 +154,9 @@
 
 // Guards against a check that overlooks a disk that joins a second cluster and so forgets its vote in the first cluster.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
-	c, last, other := newTwoClusters(joinOtherAfterVote, true)
-	must.Eq(t, other.clusterID, last.clusterID)
-	must.Eq(t, c.members[2].disk.ClusterID, last.clusterID)
+	c, lastMember, otherLeader := newClusterWithTwoMemberLists(joinOtherAfterVote, true)
+	must.Eq(t, otherLeader.clusterID, lastMember.clusterID)
+	must.Eq(t, c.members[2].disk.ClusterID, lastMember.clusterID)
 }
 
 // Guards against a check that overlooks that a lost member is replaced too late, because its loss counts only from its detection.
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -450,7 +450,7 @@
 }
 
 // runGroupFaultWalk runs a walk like runFaultWalk, but with the configuration of a coordination group (GroupConfig).
-func runGroupFaultWalk(t *testing.T, seed int64, planted mutation) *walk {
+func runFaultWalkWithGroupConfig(t *testing.T, seed int64, planted mutation) *walk {
 	return newWalkWithConfig(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
 
@@ -486,7 +486,7 @@
 
 // Guards against diverging logs, lost acknowledged entries and stale reads with the configuration of a coordination group, which has
 // shorter election timeouts and sends read sequences only to as many members as a majority needs.
-func TestWalksOfGroupsKeepInvariants(t *testing.T) { requireRecovery(t, runGroupFaultWalk) }
+func TestWalksOfGroupsKeepInvariants(t *testing.T) { requireRecovery(t, runFaultWalkWithGroupConfig) }
 
 // requireRecovery runs a walk for each seed. It requires that no invariant is violated. 10 s after the last fault, a leader must commit
 // proposals, and all nodes must be members that have applied all but the last 9 acknowledged entries.
