--- a/control/loadbalancer/controller_test.go
+++ b/control/loadbalancer/controller_test.go
@@ -56,8 +56,9 @@
 	// 10000 ms: reject txn 5, Decision.After=2000 ms
 }
 
-// Guards against a txn that has no answer at its expiry. A once-only txn with a submission in flight is failed expiryMargin before its
-// expiry, and the submission is canceled. The state of the txn is removed when the submission has ended.
+// Guards against a txn that has no answer at its expiry. If a submission of a once-only txn is in flight 2 ms (expiryMargin) before the
+// expiry of the txn, the controller fails the txn and cancels the submission. The state of the txn is removed when the submission has
+// ended.
 func Example_txnIsFailedBeforeExpiry() {
 	s := newWarmScenario()
 	s.addTxn(1, customerOwnedBy(0), 2, 0)
@@ -425,13 +426,13 @@
 	c := customerOwnedBy(0)
 	s.drainBucket(c, 0)
 	s.controller.plans[0].Rate = 1
-	fmt.Println("# the bucket is empty, but there is spare capacity and no charge: txn 1 is submitted beyond the quota")
+	fmt.Println("# the bucket is empty, but backends have spare capacity and a response beyond the quota costs nothing: txn 1 is submitted beyond the quota")
 	s.addTxn(1, c, 0, 0)
 	fmt.Println("# a txn has just found no backend with capacity: txn 2 is rejected, and its retry delay is the time until the bucket has one unit")
 	s.controller.saturatedAt = s.controller.now
 	s.addTxn(2, c, 0, 0)
 	// Output:
-	// # the bucket is empty, but there is spare capacity and no charge: txn 1 is submitted beyond the quota
+	// # the bucket is empty, but backends have spare capacity and a response beyond the quota costs nothing: txn 1 is submitted beyond the quota
 	// 10000 ms: submit txn 1 to backend 1, Decision.After=446 ms
 	// # a txn has just found no backend with capacity: txn 2 is rejected, and its retry delay is the time until the bucket has one unit
 	// 10000 ms: reject txn 2, Decision.After=1000 ms
--- a/control/quota/bound_test.go
+++ b/control/quota/bound_test.go
@@ -96,14 +96,16 @@
 }
 
 // partitionSchedules lists the times at which a partition begins and ends in turn. The times are relative to the start of the pressure.
-// TestBoundHoldsInAnyPartition selects cases by the lengths of the names.
+// TestBoundHoldsInAnyPartition selects cases by the lengths of the names modulo 6.
 var partitionSchedules = map[string][]time.Duration{
-	"once":      {0, 12 * time.Second},
-	"before":    {-2 * time.Second, 9 * time.Second},
-	"long ago":  {-20 * time.Second, 6 * time.Second},
-	"once late": {300 * time.Millisecond, 8 * time.Second},
-	"thrice":    {0, 700 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond, 2900 * time.Millisecond, 9 * time.Second},
-	"repeated":  {0, 4500 * time.Millisecond, 5 * time.Second, 9500 * time.Millisecond, 10 * time.Second, 14 * time.Second},
+	"one partition that starts when pressure starts":         {0, 12 * time.Second},
+	"a single partition that starts 2 s before the pressure": {-2 * time.Second, 9 * time.Second},
+	"one partition that starts 20 s before the pressure":     {-20 * time.Second, 6 * time.Second},
+	"one partition that starts 300 ms after the pressure":    {300 * time.Millisecond, 8 * time.Second},
+	"three separate partitions within 9 s": {0, 700 * time.Millisecond, 1200 * time.Millisecond,
+		2200 * time.Millisecond, 2900 * time.Millisecond, 9 * time.Second},
+	"three partitions of 4 s to 4.5 s": {0, 4500 * time.Millisecond, 5 * time.Second,
+		9500 * time.Millisecond, 10 * time.Second, 14 * time.Second},
 }
 
 // runSchedule starts and ends the partition by a schedule. The host of each gateway detects a change after a delay. If variedDelays is
--- a/control/quota/check.go
+++ b/control/quota/check.go
@@ -34,9 +34,10 @@
 	LateRetry bool
 }
 
-// Check reports whether a customer's quota covers a request. A customer without a limit is not metered, so its requests are allowed.
+// Check reports whether a customer's quota covers a request. It returns an Outcome and a duration whose meaning depends on the Outcome. A
+// customer without a limit is not metered, so its requests are allowed.
 //
-// With Pending, the returned duration is the clock time until which the request may wait. With Exceeded, the returned duration is the
+// With Pending, the duration is the clock time until which the request may wait. With Exceeded, the duration is the
 // delay after which enough units may be available. Check takes no units. Consume takes them, and Reserve keeps them for a request
 // that has to wait for another resource.
 func (l *Limiter) Check(customer control.CustomerID, r Request) (Outcome, time.Duration) {
--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -306,8 +306,8 @@
 	l.freshCluster = true
 }
 
-// Sweep adapts the interval between datagrams to this gateway, removes idle accounts, and removes old records of customers that are no
-// longer metered. A call less than a second after the last sweep does nothing.
+// Sweep adapts the interval that each peer leaves between its datagrams to this gateway. It also removes idle accounts, and removes
+// old records of customers that are no longer metered. A call less than a second after the last sweep does nothing.
 func (l *Limiter) Sweep() {
 	if l.now-l.sweptAt < time.Second {
 		return
--- a/control/quota/refill.go
+++ b/control/quota/refill.go
@@ -31,7 +31,7 @@
 		switch {
 		case unreachable && silentFor <= reporterQuietAfter && r.inFlight == 0: // a message has just arrived, so the host's finding is outdated
 			reachable++
-		case unreachable: // effectiveReachableCount leaves this gateway out
+		case unreachable: // the initial value of reachable does not count the gateway r.from
 			r.withheld += part
 		case mayBeIsolated:
 			r.withheld += part
--- a/control/quota/tuning.go
+++ b/control/quota/tuning.go
@@ -10,9 +10,10 @@
 
 	// datagramShare is the share of Config.DatagramsPerSecond that this gateway lets its peers use.
 	datagramShare = 0.7
-	// maxInterval is the longest interval between datagrams that peers are asked to keep.
+	// maxInterval is the longest interval between datagrams that this gateway requests from a peer.
 	maxInterval = 2 * time.Second
-	// intervalDecay is the smallest factor by which the interval that peers are asked to keep changes from one sweep to the next.
+	// intervalDecay is the smallest factor by which one sweep multiplies the interval between datagrams that this gateway requests from its
+	// peers.
 	intervalDecay = 0.5
 	// deltaEighths is the part of a message, in eighths, that may be filled with deltas. The rest is kept for snapshots.
 	deltaEighths = 4
--- a/internal/gateway/replication/config.go
+++ b/internal/gateway/replication/config.go
@@ -8,8 +8,8 @@
 // ConfigurationLog is the log of configuration changes. The logs of the coordination groups are numbered from 1.
 const ConfigurationLog LogID = 0
 
-// Config contains the timeouts and limits of a replica. Each comment gives the value in DefaultConfig. If the value in GroupConfig
-// differs, it follows in parentheses.
+// Config contains the timeouts and limits of a replica. Each comment gives the value in DefaultConfig. If GroupConfig sets another value,
+// the comment gives the value of GroupConfig in parentheses.
 type Config struct {
 	// TestingKnobs injects defects for tests. It is an empty type in a release build.
 	TestingKnobs TestingKnobs
@@ -17,22 +17,23 @@
 	// LogID is the log that this replica replicates. Default: ConfigurationLog.
 	LogID LogID
 
-	// HeartbeatInterval is the time between a leader's heartbeats. Default: 150 ms (100 ms).
+	// HeartbeatInterval is the time between a leader's heartbeats. Default: 150 ms (100 ms in GroupConfig).
 	HeartbeatInterval time.Duration
 
-	// ElectionTimeout is the minimum time since the last message from a leader before a member starts a pre-vote. Default: 400 ms
-	// (300 ms).
+	// ElectionTimeout is the minimum time since the last message from a leader before a member starts a pre-vote.
+	// Default: 400 ms (300 ms in GroupConfig).
 	ElectionTimeout time.Duration
 
-	// ElectionJitter is the upper bound of the random time that is added to ElectionTimeout. Default: 400 ms (300 ms).
+	// ElectionJitter is the upper bound of the random time that is added to ElectionTimeout. Default: 400 ms (300 ms in GroupConfig).
 	ElectionJitter time.Duration
 
 	// QuorumTimeout is how long a leader continues without responses from a majority. It is also how long a follower still reports
-	// its leader after the last message from that leader. Default: 1 s (500 ms).
+	// its leader after the last message from that leader. Default: 1 s (500 ms in GroupConfig).
 	QuorumTimeout time.Duration
 
-	// CommitNotifyDelay is the maximum delay before a leader sends a new commit index to the other members. Default: 20 ms (100 ms:
-	// in a coordination group only the leader answers requests from the committed state, so the other members can learn of it later).
+	// CommitNotifyDelay is the maximum delay before a leader sends a new commit index to the other members. Default: 20 ms
+	// (100 ms in GroupConfig). In a coordination group, only the leader answers requests from the committed state, so the other members
+	// can learn the new commit index later.
 	CommitNotifyDelay time.Duration
 
 	// RetransmitTimeout is the time after which unacknowledged chunks are sent again. A snapshot in a single message is sent
@@ -46,7 +47,7 @@
 	MaxPending int
 
 	// MaxUncommittedBytes is the maximum total size of the uncommitted entries. A larger entry is accepted if no other entry is
-	// uncommitted. 0: no limit. Default: 8 MiB (1 MiB).
+	// uncommitted. 0: no limit. Default: 8 MiB (1 MiB in GroupConfig).
 	MaxUncommittedBytes int
 
 	// MaxMessageBytes is the maximum total size of the entries in one message. A larger entry is sent in a message of its own.
@@ -61,11 +62,11 @@
 	ChunkBytes int
 
 	// TrailingBytes is the limit for the total size of the compacted entries that are kept in memory. A larger snapshot raises the limit
-	// to the size of the snapshot's state. Default: 64 KiB (16 KiB).
+	// to the size of the snapshot's state. Default: 64 KiB (16 KiB in GroupConfig).
 	TrailingBytes int
 
 	// ReadMinimalQuorum sends a new read sequence (see read.go) only to as many members as a majority needs. The other members get
-	// the read sequence with the next heartbeat. Default: false (true).
+	// the read sequence with the next heartbeat. Default: false (true in GroupConfig).
 	ReadMinimalQuorum bool
 }
 
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -25,8 +25,8 @@
 	violation string
 }
 
-// sharedBudget is the number of further steps of each kind that forEachNextStep may offer. A misrouted step delivers a message to the
-// next log.
+// sharedBudget is the number of further steps of each kind that forEachNextStep may offer. A misrouted step delivers a message of one
+// log to a replica of another log (see deliverToNextLog).
 type sharedBudget struct{ elections, proposals, crashes, misrouted int }
 
 // newSharedDisk returns the initial state of a scenario: logCount logs on three disks. The first member leads each log. The scenario's
@@ -107,7 +107,7 @@
 				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
 			visit(description, func(s *sharedDisk) { s.logs[log].deliverMessageAt(n) })
 			if s.budget.misrouted > 0 {
-				visit(description+" (delivered to the next log)", func(s *sharedDisk) { s.budget.misrouted--; s.deliverToNextLog(log, n) })
+				visit(description+" (misrouted to the replica of another log)", func(s *sharedDisk) { s.budget.misrouted--; s.deliverToNextLog(log, n) })
 			}
 		}
 	}
@@ -145,7 +145,8 @@
 	}
 }
 
-// deliverToNextLog delivers a message of one log to the recipient's replica of the next log.
+// deliverToNextLog delivers a message of one log to the replica of another log on the disk of the recipient. The other log is the log with the
+// next index in s.logs; after the last log comes the first.
 func (s *sharedDisk) deliverToNextLog(log, position int) {
 	m := s.logs[log].inflight[position]
 	nextLog := s.logs[(log+1)%len(s.logs)]
--- a/internal/gateway/replication/membership_test.go
+++ b/internal/gateway/replication/membership_test.go
@@ -69,7 +69,8 @@
 		}
 	}
 	if n := len(replica.Members()); !replica.isLatestConfigCommitted() || upToDate-tolerates < majoritySize(n) || n <= 2*tolerates || withAcked <= tolerates {
-		return fmt.Sprintf("members=%d up_to_date=%d with_last_acknowledged=%d list_committed=%v", n, upToDate, withAcked, replica.isLatestConfigCommitted())
+		return fmt.Sprintf("members=%d up_to_date_members=%d members_with_last_acknowledged_entry=%d member_list_committed=%v",
+			n, upToDate, withAcked, replica.isLatestConfigCommitted())
 	}
 	return ""
 }
@@ -291,8 +292,9 @@
 	must.Eq(t, "", w.violation)
 }
 
-// newTwoClusters sets up two clusters. The first cluster has three members, of which only `last` runs. The disk of `last` has the bootstrap
-// and, if lastVoted is true, a vote. The second cluster has two members and is led by `other`. Then `other` adds `last` as a learner.
+// newClusterWithTwoMemberLists returns one simulation with the members of two clusters. The first cluster has three members, of which only
+// lastMember runs. The disk of lastMember has the bootstrap and, if lastMemberVoted is true, a vote. The second cluster has two members and
+// is led by otherLeader. Then otherLeader adds lastMember as a learner.
 func newClusterWithTwoMemberLists(planted mutation, lastMemberVoted bool) (c *cluster, lastMember, otherLeader *Replica) {
 	c = newCluster(5, 0, planted, stepBudget{})
 	secondCluster := []Member{c.members[3].replica.self, c.members[4].replica.self}
--- a/internal/gateway/replication/read.go
+++ b/internal/gateway/replication/read.go
@@ -26,8 +26,8 @@
 	r.replicationPending = true
 }
 
-// startReadSeq starts the next read sequence if reads wait for it, and reports whether the read sequence was started. The caller sends
-// the heartbeats.
+// startReadSeq starts the next read sequence, which is a numbered round of heartbeats, if reads wait for this round. It reports whether the
+// read sequence was started. The caller sends the heartbeats.
 func (r *Replica) startReadSeq() bool {
 	if n := len(r.reads); n == 0 || r.reads[n-1].readSeq <= r.readSeq {
 		return false
@@ -36,7 +36,8 @@
 	return true
 }
 
-// broadcastReadSeq sends a new read sequence. With ReadMinimalQuorum, it sends the sequence only to as many members as a majority
+// broadcastReadSeq sends the number of the new read sequence in heartbeats. A majority acknowledges the number to confirm that this
+// replica still leads. With ReadMinimalQuorum, broadcastReadSeq sends the number only to as many members as a majority
 // needs, and prefers the members that responded last. If one of the chosen members does not respond, the next heartbeat sends the read
 // sequence to all members.
 func (r *Replica) broadcastReadSeq() {
--- a/internal/gateway/replication/testingknobs.go
+++ b/internal/gateway/replication/testingknobs.go
@@ -35,7 +35,7 @@
 	skipChunks            // accepts a chunk although an earlier one is missing
 	installPartial        // installs a snapshot before it is complete
 	abandonTransfer       // restarts the transfer of a snapshot when there is a newer one
-	contactFromAckTime    // the leader takes the arrival of a member's response as the time of the member's contact
+	contactFromAckTime    // the leader takes the arrival time of a member's response as the time at which the member followed the leader
 	contactFromAppendTime // a follower takes the arrival of an append as the time of the quorum contact
 	contactBeforeNoOp     // the leader reports quorum contact before an entry of its term is committed
 	contactWhileLeading   // a leader always reports quorum contact at the present time
