--- a/control/quota/limiter.go
+++ b/control/quota/limiter.go
@@ -91,7 +91,7 @@
 	peers               []*peer       // indexed by gateway ID; the entry of this gateway is unused
 	pendingPeers        []*peer       // peers to which a message may have to be sent
 	version             uint64        // version of the last message that this gateway sent to any peer
-	interval            time.Duration // interval between datagrams to this gateway that peers are asked to keep
+	interval            time.Duration // interval that this gateway asks each peer to leave between the datagrams to this gateway
 	maxDatagrams        float64       // target for the number of datagrams a second that all peers together send to this gateway
 	datagramsSinceSweep int           // datagrams received since the last sweep
 	sendersSinceSweep   int           // number of peers that sent datagrams since the last sweep
@@ -318,8 +318,8 @@
 	maps.DeleteFunc(l.removedAt, func(_ control.CustomerID, at time.Duration) bool { return l.now-at > removedTTL })
 }
 
-// adjustInterval sets the interval between datagrams that each peer is asked to keep. The interval grows with the rate of received
-// datagrams, so that each peer sends fewer datagrams if many peers report to this gateway.
+// adjustInterval sets the interval that this gateway asks each peer to leave between its datagrams. The interval grows with the rate of
+// received datagrams, so that each peer sends fewer datagrams if many peers report to this gateway.
 func (l *Limiter) adjustInterval() {
 	rate := float64(l.datagramsSinceSweep) / (l.now - l.sweptAt).Seconds()
 	l.interval = min(max(l.config.MinInterval, time.Duration(float64(l.interval)*max(rate/l.maxDatagrams, intervalDecay))), maxInterval)
--- a/internal/gateway/replication/explore_test.go
+++ b/internal/gateway/replication/explore_test.go
@@ -301,7 +301,8 @@
 		key := string(m.appendKey(nil, c.checksQuorumContact))
 		if !slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, c.checksQuorumContact)) == key }) {
 			message := m.send.Message
-			description := fmt.Sprintf("message from %d to %d: kind=%d term=%d index=%d", m.from, m.send.Recipient.ID, message.Kind, message.Term, message.Index)
+			description := fmt.Sprintf("message from member %d to member %d: kind=%d term=%d index=%d",
+				m.from, m.send.Recipient.ID, message.Kind, message.Term, message.Index)
 			visit(description, func(next *cluster) { next.deliverMessageAt(n) })
 			if message.Chunk != nil && c.budget.duplicates > 0 {
 				visit(description+" (duplicated)", func(next *cluster) {
--- a/internal/gateway/replication/groups_test.go
+++ b/internal/gateway/replication/groups_test.go
@@ -103,7 +103,7 @@
 			if slices.ContainsFunc(c.inflight[:n], func(o inflightMessage) bool { return string(o.appendKey(nil, false)) == key }) {
 				continue
 			}
-			description := fmt.Sprintf("log %d: message from %d to %d: kind=%d term=%d index=%d", log,
+			description := fmt.Sprintf("log %d: message from member %d to member %d: kind=%d term=%d index=%d", log,
 				m.from, m.send.Recipient.ID, m.send.Message.Kind, m.send.Message.Term, m.send.Message.Index)
 			visit(description, func(s *sharedDisk) { s.logs[log].deliverMessageAt(n) })
 			if s.budget.misrouted > 0 {
--- a/internal/gateway/replication/message.go
+++ b/internal/gateway/replication/message.go
@@ -49,7 +49,7 @@
 
 	Index, LogTerm uint64
 	Commit         uint64 // the leader's commit index
-	Seq            uint64 // the read sequence, or the number of a pre-vote attempt
+	Seq            uint64 // the read sequence (number of a round of heartbeats, see read.go), or the number of a pre-vote attempt
 	Rejected       bool
 	Entries        []Entry
 	Snapshot       *Snapshot
--- a/internal/gateway/replication/testingknobs.go
+++ b/internal/gateway/replication/testingknobs.go
@@ -36,7 +36,7 @@
 	installPartial        // installs a snapshot before it is complete
 	abandonTransfer       // restarts the transfer of a snapshot when there is a newer one
 	contactFromAckTime    // the leader takes the arrival time of a member's response as the time at which the member followed the leader
-	contactFromAppendTime // a follower takes the arrival of an append as the time of the quorum contact
+	contactFromAppendTime // a follower takes the arrival time of an append as the time of the quorum contact
 	contactBeforeNoOp     // the leader reports quorum contact before an entry of its term is committed
 	contactWhileLeading   // a leader always reports quorum contact at the present time
 	contactBeforeCommit   // a follower accepts the leader's quorum contact although it lacks committed entries
--- a/internal/gateway/replication/walk_test.go
+++ b/internal/gateway/replication/walk_test.go
@@ -449,7 +449,7 @@
 	return newWalk(t, 3+int(seed%3), seed, planted).runWithFaults(injectFaults, until)
 }
 
-// runGroupFaultWalk runs a walk like runFaultWalk, but with the configuration of a coordination group (GroupConfig).
+// runFaultWalkWithGroupConfig runs a walk like runFaultWalk, but with the configuration of a coordination group (GroupConfig).
 func runFaultWalkWithGroupConfig(t *testing.T, seed int64, planted mutation) *walk {
 	return newWalkWithConfig(t, GroupConfig(1), 3+int(seed%3), 3, seed, planted).runWithFaults((*walk).injectFault, 40*time.Second)
 }
