--- a/internal/gateway/replication/mutations_test.go
+++ b/internal/gateway/replication/mutations_test.go
@@ -47,11 +47,11 @@
 		skipChunks:            "a missing chunk is skipped",
 		installPartial:        "a snapshot is installed before it is complete",
 		abandonTransfer:       "a newer snapshot replaces the snapshot in transfer",
-		contactFromAckTime:    "the leader takes the arrival of a response as the time of a member's contact",
-		contactFromAppendTime: "a follower takes the arrival of an append as the time of quorum contact",
-		contactBeforeNoOp:     "quorum contact is reported before the term's no-op is committed",
-		contactWhileLeading:   "a leader always reports quorum contact at the present time",
-		contactBeforeCommit:   "a follower that lacks committed entries reports quorum contact",
+		contactFromAckTime:    "the leader takes the arrival time of a member's response as the time at which the member followed the leader",
+		contactFromAppendTime: "a follower takes the arrival time of an append as the time at which a majority followed the leader",
+		contactBeforeNoOp:     "before the no-op of its term is committed, a leader reports the time at which a majority followed the leader",
+		contactWhileLeading:   "a leader always reports the present time as the time at which a majority followed the leader",
+		contactBeforeCommit:   "a follower that lacks committed entries reports the time at which a majority followed the leader",
 		neverReplace:          "lost members are not replaced",
 		promoteEarly:          "a learner becomes a member before it has the committed entries",
 		replaceAtOnce:         "a member that restarts is replaced at once",
@@ -125,7 +125,7 @@
 
 // Guards against walks that overlook faults in reads and outcomes with the configuration of a coordination group (GroupConfig).
 func TestWalksOfGroupsFindMutations(t *testing.T) {
-	requireMutationsDetected(t, runGroupFaultWalk, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
+	requireMutationsDetected(t, runFaultWalkWithGroupConfig, 200, skipReadSeq, readBeforeNoOp, keepFinishedProposals)
 }
 
 // Guards against walks that overlook wrong reports of quorum contact.
@@ -154,9 +154,9 @@
 
 // Guards against a check that overlooks a disk that joins a second cluster and so forgets its vote in the first cluster.
 func TestBootstrappedOnlyDiskFindsMutation(t *testing.T) {
-	c, last, other := newTwoClusters(joinOtherAfterVote, true)
-	must.Eq(t, other.clusterID, last.clusterID)
-	must.Eq(t, c.members[2].disk.ClusterID, last.clusterID)
+	c, lastMember, otherLeader := newClusterWithTwoMemberLists(joinOtherAfterVote, true)
+	must.Eq(t, otherLeader.clusterID, lastMember.clusterID)
+	must.Eq(t, c.members[2].disk.ClusterID, lastMember.clusterID)
 }
 
 // Guards against a check that overlooks that a lost member is replaced too late, because its loss counts only from its detection.
