--- a/internal/gateway/admission/attempts_test.go
+++ b/internal/gateway/admission/attempts_test.go
@@ -72,7 +72,7 @@
 		h.Now(h.now)
 	case stepAllDraining:
 		h.setBackends(control.Draining, 1, 6)
-		h.takeDecisions()
+		h.collectDecisions()
 		h.setBackends(control.Ready, 1, 6)
 	case stepUnresponsive:
 		if inFlight {
@@ -94,7 +94,7 @@
 			h.SubmissionEnded(1, h.txns[1].submissions-1, backend, ending, false, 50*time.Millisecond, nil)
 		}
 	}
-	h.takeDecisions()
+	h.collectDecisions()
 }
 
 // Guards against a retry that is sent from the queue after the maximum number of attempts of its route was lowered to one. Such a submission violates
@@ -113,7 +113,7 @@
 		}
 	}
 	h.SubmissionEnded(1, 0, first, control.Errored, false, 50*time.Millisecond, nil)
-	h.takeDecisions()
+	h.collectDecisions()
 	must.True(t, h.txns[1].queued)
 	h.LowerMaxAttempts(1, 1)
 	h.advanceTo(h.now + 100*time.Millisecond)
--- a/internal/gateway/admission/canary_test.go
+++ b/internal/gateway/admission/canary_test.go
@@ -98,12 +98,12 @@
 	}
 	must.Greater(t, 1, id)
 	h.SetRollout(1, 2, CanaryClosed)
-	h.takeDecisions()
+	h.collectDecisions()
 	must.Eq(t, id, h.lastDecision().Txn)
 	must.False(t, h.isLastSubmissionAtCanary("request from the canary's queue after a rollback"))
 	h.endLastSubmission(control.Succeeded, true)
 	h.SubmissionEnded(1, 0, firstCanaryBackend, control.Rejected, false, 50*time.Millisecond, nil) // the request has not run
-	h.takeDecisions()
+	h.collectDecisions()
 	must.Eq(t, 1, h.lastDecision().Txn)
 	must.False(t, h.isLastSubmissionAtCanary("request that the canary rejected after a rollback"))
 	h.sendRequest(101)
--- a/internal/gateway/admission/client_left_test.go
+++ b/internal/gateway/admission/client_left_test.go
@@ -35,7 +35,7 @@
 			h := newHarness(route, 2)
 			h.sendRequest(1)
 			h.ClientLeft(1)
-			h.takeDecisions()
+			h.collectDecisions()
 			if route.Effectful {
 				must.Len(t, 1, h.decided)
 				h.SubmissionEnded(1, 0, h.lastDecision().Backend, ending, true, 50*time.Millisecond, nil)
@@ -60,10 +60,10 @@
 	h.endLastSubmission(control.Rejected, false)
 	must.Eq(t, control.Submit, h.lastDecision().Action)
 	h.ClientLeft(1)
-	h.takeDecisions()
+	h.collectDecisions()
 	must.Eq(t, control.Decision{Action: control.Cancel, Txn: 1, Attempt: 1}, h.lastDecision())
 	h.ClientLeft(1)
-	h.takeDecisions()
+	h.collectDecisions()
 	must.Eq(t, 1, h.cancellationCount())
 
 	h = newHarness(idempotentRoute, 2)
@@ -75,7 +75,7 @@
 	if n := h.cancellationCount(); n > 0 {
 		leftTxn := h.lastDecision().Txn
 		h.ClientLeft(leftTxn)
-		h.takeDecisions()
+		h.collectDecisions()
 		must.Eq(t, n, h.cancellationCount())
 	}
 }
--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -50,12 +50,12 @@
 func (h *harness) advanceTo(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
-		h.takeDecisions()
+		h.collectDecisions()
 	}
 }
 
 // takeDecisions takes all decisions that the controller makes at the present time, and appends them to h.decided.
-func (h *harness) takeDecisions() {
+func (h *harness) collectDecisions() {
 	h.Now(h.now)
 	for decision, ok := h.Next(); ok; decision, ok = h.Next() {
 		if decision.Action != control.Wake && decision.Action != control.Log {
@@ -67,14 +67,14 @@
 // sendRequest lets a request with product ID 1 arrive and takes the decisions.
 func (h *harness) sendRequest(id control.TxnID) {
 	h.TxnArrived(control.Txn{ID: id, Product: 1, Units: 1, Expiry: h.now + 10*time.Second})
-	h.takeDecisions()
+	h.collectDecisions()
 }
 
 // endLastSubmission reports the end of the submission in the last decision and takes the decisions that follow.
 func (h *harness) endLastSubmission(ending control.Ending, answered bool) {
 	decision := h.lastDecision()
 	h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, ending, answered, 50*time.Millisecond, nil)
-	h.takeDecisions()
+	h.collectDecisions()
 }
 
 // lastDecision returns the newest decision that is not a wake-up or a log entry.
@@ -184,7 +184,7 @@
 				}
 				sentTxns[decision.Txn] = true
 				h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, control.Rejected, false, 50*time.Millisecond, nil)
-				h.takeDecisions()
+				h.collectDecisions()
 			}
 		}
 		for id := control.TxnID(1); id <= 2000; id++ {
@@ -234,7 +234,7 @@
 	h.routes[1].Deadline = 0
 	h.TxnArrived(control.Txn{ID: 3, Product: 1, Expiry: h.now + 60*time.Second})
 	h.now += 2 * time.Second
-	h.takeDecisions()
+	h.collectDecisions()
 	must.Eq(t, []control.Action{control.Reject, control.Reject, control.Submit}, h.decidedActions())
 	must.Eq(t, h.now, h.pausedUntil)
 }
@@ -254,7 +254,7 @@
 	h.sendRequest(101)
 	h.decided = h.decided[:1]
 	h.SubmissionEnded(1, 0, 1, control.Succeeded, true, 50*time.Millisecond, nil) // the backend has answered, so it gets more requests
-	h.takeDecisions()
+	h.collectDecisions()
 	for i, want := range []control.TxnID{1, id, 101, 100} {
 		must.Eq(t, want, h.decided[i].Txn)
 	}
@@ -279,7 +279,7 @@
 	h.advanceTo(h.now + 5*time.Second)
 	for id := control.TxnID(1); id <= 3; id++ {
 		h.TxnArrived(control.Txn{ID: id, Product: 1, Customer: 7, Units: 1, Expiry: h.now + time.Minute})
-		h.takeDecisions()
+		h.collectDecisions()
 	}
 	must.Eq(t, []control.Action{control.Submit, control.Submit, control.Reject}, h.decidedActions())
 	must.Eq(t, control.ReasonNoUnits, h.lastDecision().Reason)
@@ -311,11 +311,11 @@
 func TestTimerOfEarlierRequestWithSameIDHasNoEffect(t *testing.T) {
 	h := newHarness(Route{Effectful: true, LatencyTarget: time.Second, MaxAttempts: 1}, 1)
 	h.sendRequest(7) // expires in 10 s
-	h.takeDecisions()
+	h.collectDecisions()
 	h.SubmissionEnded(7, 0, 1, control.Succeeded, true, time.Millisecond, nil)
 	h.advanceTo(h.now + 9*time.Second)
 	h.sendRequest(7)
-	h.takeDecisions()
+	h.collectDecisions()
 	h.decided = nil
 	h.advanceTo(h.now + 5*time.Second)
 	must.SliceEmpty(t, h.decided)
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -147,11 +147,11 @@
 		}
 		controller.SubmissionEnded(j.txn, j.attempt, j.backend, ending, ending == control.Succeeded, s.now-j.sentAt, nil)
 	}
-	s.takeDecisions(j.node, controller)
+	s.performDecisions(j.node, controller)
 }
 
 // takeDecisions performs all decisions that the controller of a node makes at the present time.
-func (s *simulation) takeDecisions(node int, controller *Controller) {
+func (s *simulation) performDecisions(node int, controller *Controller) {
 	for decision, ok := controller.Next(); ok; decision, ok = controller.Next() {
 		key := [2]int{node, int(decision.Txn)}
 		switch decision.Action {
