--- a/internal/gateway/admission/controller_test.go
+++ b/internal/gateway/admission/controller_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// advanceTo advances the time to until, in steps of 10 ms, and takes the decisions after each step.
+// advanceTo advances the time to until, in steps of 10 ms, and calls collectDecisions after each step.
 func (h *harness) advanceTo(until time.Duration) {
 	for h.now < until {
 		h.now = min(h.now+10*time.Millisecond, until)
@@ -54,7 +54,7 @@
 	}
 }
 
-// takeDecisions takes all decisions that the controller makes at the present time, and appends them to h.decided.
+// collectDecisions takes all pending decisions from the controller at the present time and appends them to h.decided, except wake-ups and log entries.
 func (h *harness) collectDecisions() {
 	h.Now(h.now)
 	for decision, ok := h.Next(); ok; decision, ok = h.Next() {
@@ -64,13 +64,13 @@
 	}
 }
 
-// sendRequest lets a request with product ID 1 arrive and takes the decisions.
+// sendRequest lets a request with product ID 1 arrive and calls collectDecisions.
 func (h *harness) sendRequest(id control.TxnID) {
 	h.TxnArrived(control.Txn{ID: id, Product: 1, Units: 1, Expiry: h.now + 10*time.Second})
 	h.collectDecisions()
 }
 
-// endLastSubmission reports the end of the submission in the last decision and takes the decisions that follow.
+// endLastSubmission reports the end of the submission in the last decision and collects the decisions that follow.
 func (h *harness) endLastSubmission(ending control.Ending, answered bool) {
 	decision := h.lastDecision()
 	h.SubmissionEnded(decision.Txn, h.txns[decision.Txn].submissions-1, decision.Backend, ending, answered, 50*time.Millisecond, nil)
--- a/internal/gateway/admission/service.go
+++ b/internal/gateway/admission/service.go
@@ -132,7 +132,8 @@
 )
 
 // concurrency tracks the number of requests of this node that were in flight at a version of a service. It keeps the highest average over a span of
-// concurrencySpan.
+// concurrencySpan. A submission is the sending of a request to one backend, until the response, failure or cancellation. A request that is retried has
+// several submissions.
 type concurrency struct {
 	spanStart     time.Duration // start of the present span
 	busyTime      time.Duration // total duration of the submissions that ended in the present span
@@ -161,7 +162,7 @@
 
 // PeakConcurrency returns the peak number of requests that this node had in flight at a service. During a roll-out it is the sum of the peaks of
 // both versions. A peak is the highest average over a span of ten seconds, in the present period of 30 minutes and the period before it. 0 means
-// that no peak is known, because no submission was recorded in these periods.
+// that no peak is known, because no request to a backend of the service ended in these periods.
 func (c *Controller) PeakConcurrency(id control.ServiceID) float64 {
 	s := c.getOrCreateService(id)
 	peak := s.concurrency.highestPeak()
--- a/internal/gateway/admission/sim_test.go
+++ b/internal/gateway/admission/sim_test.go
@@ -150,7 +150,7 @@
 	s.performDecisions(j.node, controller)
 }
 
-// takeDecisions performs all decisions that the controller of a node makes at the present time.
+// performDecisions performs all decisions that the controller of a node makes at the present time.
 func (s *simulation) performDecisions(node int, controller *Controller) {
 	for decision, ok := controller.Next(); ok; decision, ok = controller.Next() {
 		key := [2]int{node, int(decision.Txn)}
--- a/internal/gateway/balancer/balancer.go
+++ b/internal/gateway/balancer/balancer.go
@@ -75,7 +75,7 @@
 	capacity    float64       // number of requests that this node may have in flight at all backends of the service
 	saturatedAt time.Duration // when a request last found no capacity, or was rejected by a backend
 
-	valueLoss            [2]float64    // mean value loss of responses, by ownZone and otherZones
+	valueLoss            [2]float64    // mean value loss by ownZone and otherZones, see recordValueLoss
 	lastRemoteResponseAt time.Duration // time of the last response from another zone
 	crossZoneShare       float64       // share of requests sent to other zones although this zone has capacity
 	crossZoneUpdatedAt   time.Duration // last time that crossZoneShare was updated
--- a/internal/gateway/balancer/outcome.go
+++ b/internal/gateway/balancer/outcome.go
@@ -37,9 +37,9 @@
 // Outcome describes how a request ended at a backend.
 type Outcome struct {
 	Ending        control.Ending
-	Kind          control.ProductID // as in Request
+	Kind          control.ProductID // kind of the request; requests of the same kind have similar latencies
 	Took          time.Duration     // time from sending the request to its end
-	LatencyTarget time.Duration     // responses within this time have their full value; 0 means no target
+	LatencyTarget time.Duration     // a response is late after lateTargetShare of this time; 0 means that no response is late
 	ProcessPaused bool              // this process was paused during the request, so Took says nothing about the backend
 	ClientLeft    bool              // the client has left; if Ending is Canceled, this is the reason
 }
--- a/internal/gateway/balancer/zones.go
+++ b/internal/gateway/balancer/zones.go
@@ -28,7 +28,9 @@
 	return b.valueLoss[otherZones] < overloadValueLoss || b.valueLoss[otherZones]+crossZoneCost < b.valueLoss[ownZone]
 }
 
-// recordValueLoss updates the mean value loss with the value loss of a response. There is one mean for this zone and one for all other zones.
+// recordValueLoss updates the mean value loss of a zone with the value loss of one request. The value of a request is its worth to the client: 1 for a
+// prompt response. loss is the share of this value that was lost, from 0 for a prompt response to lateValueLoss for a late response or a timeout. There
+// is one mean for this zone and one for all other zones.
 func (b *Balancer) recordValueLoss(now time.Duration, backend *backendState, loss float64) {
 	locality := b.locality(backend.Zone)
 	if locality == otherZones {
--- a/internal/gateway/membership/roster.go
+++ b/internal/gateway/membership/roster.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxNodes is the maximum number of other nodes that a roster keeps. It equals the maximum number of slots.
+// maxNodes is the maximum number of other nodes that a roster keeps. It equals the maximum number of slots. A slot is a node's number, which the
+// configuration log assigns once, so a roster has room for every node that has a slot.
 const maxNodes = 1024
 
 // Config describes the deployment. All nodes have the same Config.
--- a/internal/gateway/membership/roster_test.go
+++ b/internal/gateway/membership/roster_test.go
@@ -270,12 +270,12 @@
 			sim.stopNodes("a")
 			sim.runUntil(2200*ms).startNode("a", 1, true)
 		}, "a", 3},
-		{"first seed restarts with a state of the core", "abc", func(sim *simCluster) {
+		{"first seed restarts and its disk holds the state of an existing cluster", "abc", func(sim *simCluster) {
 			sim.runUntil(200 * ms).stopNodes("a")
 			sim.nodes["a"].founders = []Founder{{1, "a"}}
 			sim.runUntil(1000*ms).startNode("a", 1, false)
 		}, "", 0},
-		{"another seed holds a state of the core", "abc", func(sim *simCluster) {
+		{"the disk of a seed other than the first holds the state of an existing cluster", "abc", func(sim *simCluster) {
 			sim.nodes["c"].founders = []Founder{{3, "c"}}
 			sim.startNode("c", 3, false)
 		}, "", 0},
--- a/internal/gateway/outlier/decide.go
+++ b/internal/gateway/outlier/decide.go
@@ -38,7 +38,8 @@
 	byCoordinator := e.Verb != SetSettings && e.Verb != Clear
 	switch {
 	case byCoordinator != (e.FencingToken > 0):
-		return routing.Invalid, logentry.FieldErrorf("fence", "fencing token %d with verb %s: only entries of the coordinator have a token above 0",
+		return routing.Invalid, logentry.FieldErrorf("fence",
+			"fencing token %d with verb %s: the token must be above 0 in an entry of the coordinator and 0 in an entry of an operator",
 			e.FencingToken, e.Verb)
 	case byCoordinator && e.FencingToken < s.FencingToken:
 		return conflictResult("fence", "fencing token %d is lower than the current token %d", e.FencingToken, s.FencingToken)
--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -13,9 +13,10 @@
 	linkEvidenceDelay = 500 * time.Millisecond
 	// The value of keyState.reportWithin for a report that is to be sent at once. The value 0 of this field means that nothing is to be reported.
 	reportNow = 1 * time.Nanosecond
-	// The minimum time between the last report on a key and a report of new evidence on the key.
+	// The minimum time between the last report on a key and the next report, if new evidence other than ByRate evidence caused the next report.
+	// ByRate evidence counts only if the failure rate is high, see evidenceWeights.
 	reportDelay = 200 * time.Millisecond
-	// The minimum time between the last report on a key and a report that is sent for new totals or for new ByRate evidence.
+	// The minimum time between the last report on a key and the next report, if only new totals or new ByRate evidence caused the next report.
 	slowReportDelay = time.Second
 	// The report on a key is repeated at this interval while its evidence has not expired.
 	reportInterval = 2 * time.Second
--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -101,10 +101,15 @@
 	detectionTimes, propagationTimes []time.Duration // From the first evidence to the Eject entry, and from the entry to each connected node.
 	reportsSent                      int
 	// The largest number of a service's ready backends that were not open to a node's patient requests. The value is a fraction of the allowed
-	// number, which is the number of ready backends minus Settings.minBackendsInService. It is logged as max_closed_fraction.
-	maxClosedFraction    float64
-	wronglyClosed        time.Duration // The total time in which ejections closed healthy backends to strict requests, averaged over the nodes.
-	wronglyClosedLocally time.Duration // The same total for local ejections.
+	// number, which is the number of ready backends minus Settings.minBackendsInService. It is logged as
+	// max_closed_share_of_allowed.
+	maxClosedFraction float64
+	// The time in which ejections by the coordinator closed a healthy backend to a node's strict requests. The value is the sum over all backends,
+	// averaged over the nodes. It is logged as healthy_backend_time_closed.
+	wronglyClosed time.Duration
+	// The time in which a node's local ejection closed a healthy backend to the node's strict requests. The value is the sum over all backends,
+	// averaged over the nodes. It is logged as healthy_backend_time_closed_locally.
+	wronglyClosedLocally time.Duration
 	wronglyEjected       map[InstanceID]bool
 	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone.
 }
@@ -627,7 +632,7 @@
 		}
 		for k, access := range node.access {
 			if other := sim.nodes[0].access[k]; !access.Local && !other.Local && access.Access != other.Access {
-				panic(fmt.Sprintf("node %d and node 0 have different access to the key %v", node.slot, k))
+				panic(fmt.Sprintf("after all log entries were applied, node %d and node 0 differ in their access to key %v", node.slot, k))
 			}
 		}
 	}
@@ -692,7 +697,7 @@
 			}
 		})
 		t.Logf(
-			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_fraction=%.2f wrongly_closed_locally=%v reports_per_second=%.1f",
+			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_share_of_allowed=%.2f healthy_backend_time_closed_locally=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
@@ -775,7 +780,8 @@
 				}
 			}
 		})
-		t.Logf("nodes=%d disturbances=%v seeds=%d simulated=%v max_sole_ejections=%d ejections=%d wrong_ejections_with_several_witnesses=%d wrongly_closed=%v",
+		t.Logf(
+			"nodes=%d disturbances=%v seeds=%d simulated=%v max_ejections_by_lying_node=%d ejections=%d wrong_ejections_by_several_witnesses=%d healthy_backend_time_closed=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
--- a/internal/gateway/registry/wire.go
+++ b/internal/gateway/registry/wire.go
@@ -6,8 +6,8 @@
 // and other program versions read these forms. The fields here must therefore never be renamed, even if the fields of Record
 // and Message are renamed. gob ignores a received field that it does not know. A field that was not sent is zero.
 
-// WireRecord is the form of a Record that gob sends and stores. If a field has another name in Record, a comment gives that
-// name.
+// WireRecord is the form of a Record that gob sends and stores. The encoded form keeps the names of older program versions, so
+// some fields have another name than in Record. The comment of such a field says what the value is and names the field of Record.
 type WireRecord struct {
 	ID         string
 	Service    string
@@ -16,27 +16,28 @@
 	Generation string
 	Capacity   int
 	Phase      Phase
-	ColdLeft   time.Duration // SlowStartLeft
+	ColdLeft   time.Duration // remaining slow start when the record was made (Record.SlowStartLeft)
 	Seq        uint64
 
-	Drained bool // Draining
-	Final   bool // Deregistered
+	Drained bool // the backend has reported that it is draining (Record.Draining)
+	Final   bool // the backend has deregistered (Record.Deregistered)
 	Age     time.Duration
-	Keeper  Slot   // Owner
-	Fence   uint64 // FencingToken
-	Missed  Slot   // LostOwner
+	Keeper  Slot   // node that watches the backend for missed heartbeats (Record.Owner)
+	Fence   uint64 // number of changes of the backend's owner (Record.FencingToken)
+	Missed  Slot   // former owner that the present owner no longer reached, or NoSlot (Record.LostOwner)
 }
 
-// WireMessage is the form of a Message that gob sends. If a field has another name in Message, a comment gives that name.
+// WireMessage is the form of a Message that gob sends. The encoded form keeps the names of older program versions, so some
+// fields have another name than in Message. The comment of such a field says what the value is and names the field of Message.
 type WireMessage struct {
-	Nr     uint64       // Seq
-	Words  []WireRecord // Updates
-	Beats  []WireRecord // Heartbeats
-	Doubts []WireRecord // Suspicions
-	Acks   []uint64
-	All    bool // FullSync
+	Nr     uint64       // sequence number of the sender's messages to the receiver (Message.Seq)
+	Words  []WireRecord // changed records, or a part of a full sync (Message.Updates)
+	Beats  []WireRecord // heartbeats of backends that called a node which is not their owner (Message.Heartbeats)
+	Doubts []WireRecord // records of backends at whose address another backend answered (Message.Suspicions)
+	Acks   []uint64     // sequence numbers of the received messages
+	All    bool         // the sender starts a full sync with this message (Message.FullSync)
 
-	Unreached []Slot // Unreachable
+	Unreached []Slot // nodes with a disk that the sender does not reach and the receiver may reach (Message.Unreachable)
 }
 
 // ToWireRecords converts records to the form in which they are sent and stored. It returns nil for no records.
--- a/internal/gateway/statemachine/errors.go
+++ b/internal/gateway/statemachine/errors.go
@@ -11,7 +11,7 @@
 var (
 	ErrEmptyEntry   = errors.New("log entry is empty")
 	ErrNoSlotLeft   = errors.New("assign slot: no slot is left")
-	ErrNoGroupDisks = errors.New("bootstrap coordination groups: entry names no disk")
+	ErrNoGroupDisks = errors.New("bootstrap coordination groups (logs of locks, counters and keys): entry lists no node with a disk")
 )
 
 // UnknownKindError is returned for an entry whose kind this version does not support.
--- a/internal/gateway/statemachine/machine.go
+++ b/internal/gateway/statemachine/machine.go
@@ -34,7 +34,7 @@
 }
 
 // Decide returns the result that Apply would return now for an entry that concerns a configuration or a roll-out. For all other kinds
-// it returns Accepted, because only Apply validates such entries.
+// it returns Accepted, because only Apply validates such entries. Decide does not change the state.
 func (m *Machine) Decide(kind Kind, body []byte) (routing.Result, error) {
 	if kind == KindRollout {
 		return handleRolloutEntry(body, m.Rollouts.Decide)
@@ -45,9 +45,9 @@
 	return routing.Accepted, nil
 }
 
-// DecideFinal returns a result and reports in final whether the result would be the same in every later state. If final is true, a
-// node may answer with the result even though the node's own state is stale. If final is false, the result may differ from the
-// result of Decide.
+// DecideFinal returns the result for an entry without changing the state. It reports in final whether
+// the result would be the same in every later state. If final is true, a node may answer with the result even though the node's own
+// state is stale. If final is false, the result may differ from the result of Decide.
 func (m *Machine) DecideFinal(kind Kind, body []byte) (result routing.Result, err error, final bool) {
 	if config, ok := routingKind(kind); ok {
 		return m.Configs.DecideFinal(config, body)
