--- a/internal/gateway/outlier/node.go
+++ b/internal/gateway/outlier/node.go
@@ -14,7 +14,7 @@
 	// The value of keyState.reportWithin for a report that is to be sent at once. The value 0 of this field means that nothing is to be reported.
 	reportNow = 1 * time.Nanosecond
 	// The minimum time between the last report on a key and the next report, if new evidence other than ByRate evidence caused the next report.
-	// ByRate evidence counts only if the failure rate is high, see evidenceWeights.
+	// ByRate evidence counts only in the failure rate and is reported after slowReportDelay.
 	reportDelay = 200 * time.Millisecond
 	// The minimum time between the last report on a key and the next report, if only new totals or new ByRate evidence caused the next report.
 	slowReportDelay = time.Second
