--- a/internal/gateway/outlier/simulation_test.go
+++ b/internal/gateway/outlier/simulation_test.go
@@ -105,10 +105,10 @@
 	// max_closed_of_allowed.
 	maxClosedFraction float64
 	// The time in which ejections by the coordinator closed a healthy backend to a node's strict requests. The value is the sum over all backends,
-	// averaged over the nodes. It is logged as healthy_backends_closed_for.
+	// averaged over the nodes. It is logged as healthy_closed_for.
 	wronglyClosed time.Duration
 	// The time in which a node's local ejection closed a healthy backend to the node's strict requests. The value is the sum over all backends,
-	// averaged over the nodes. It is logged as healthy_backends_closed_locally_for.
+	// averaged over the nodes. It is logged as healthy_closed_locally_for.
 	wronglyClosedLocally time.Duration
 	wronglyEjected       map[InstanceID]bool
 	maxSoleEjections     int // The largest number of simultaneous ejections on the evidence of the lying node alone. It is logged as max_lying_node_ejections.
@@ -697,7 +697,7 @@
 			}
 		})
 		t.Logf(
-			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_of_allowed=%.2f healthy_backends_closed_locally_for=%v reports_per_second=%.1f",
+			"nodes=%d seeds=%d simulated=%v wrong_ejections=%d ejections=%d max_closed_of_allowed=%.2f healthy_closed_locally_for=%v reports_per_second=%.1f",
 			tc.nodes, tc.seeds, simulated, wrongEjections, ejections, worstShare, closedLocally.Round(ms), float64(reports)/simulated.Seconds())
 		must.LessEq(t, 1+int(simulated.Hours()/10), wrongEjections)
 	}
@@ -781,7 +781,7 @@
 			}
 		})
 		t.Logf(
-			"nodes=%d disturbances=%v seeds=%d simulated=%v max_lying_node_ejections=%d ejections=%d wrong_ejections_with_several_witnesses=%d healthy_backends_closed_for=%v",
+			"nodes=%d disturbances=%v seeds=%d simulated=%v max_lying_node_ejections=%d ejections=%d wrong_ejections_with_several_witnesses=%d healthy_closed_for=%v",
 			tc.nodes, tc.disturbed, tc.seeds, simulated, maxEjected, ejections, sharedEjections, closedTime.Round(time.Second))
 	}
 }
